--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -89,7 +89,7 @@
     cold = fleet.ask(200)
     for replica in fleet.router.replicas.values():
         replica.streams = 9
-    fleet.router.crowded = True
+    fleet.router.saturated = True
     return {"warm": warm, "half cold": cold, "crowded": fleet.ask(100), "list": listed, "bytes a server": held / size}
 
 
--- a/pearstall/choice.py
+++ b/pearstall/choice.py
@@ -1,10 +1,14 @@
-"""Every decision of a gateway. Its interface, the settings, events and actions, is pearstall/interface.py.
+"""Every decision of a gateway. Its interface (settings, events and actions) is pearstall/interface.py.
 
-A gateway makes one `Router(settings, seed)`, calls `start(now)` once, then `handle(now, event)` for each
-event, and carries out the returned actions in order. The router keeps no clock, does no I/O and shares
-nothing; the same seed and events give the same actions. The rule is Envoy's outlier detection in unsplit mode
-(streaks, success rate, growing capped ejections) with a pick of two by a learned time to first token;
-docs/design.md says when each extension acts.
+A gateway makes one `Router(settings, seed)`, calls `start(now)` once, then `handle(now, event)` for each event, and
+carries out the returned actions in order. The router keeps no clock, does no I/O and shares nothing: the same seed
+and events give the same actions.
+
+The base is Envoy's outlier detection in unsplit mode (consecutive failures, success rate, growing and capped
+ejections), with a choice between two random replicas by a learned time to first token (TTFT). docs/design.md says
+when each extension applies.
+
+Times are integer microseconds and sizes of prompts are tokens, unless a name or a comment says otherwise.
 """
 
 from __future__ import annotations
@@ -42,194 +46,241 @@
 )
 
 # -- tunables ----------------------------------------------------------------------------------------------
-# Times are multiples of settings. Envoy's names where Envoy has one.
-
-CONSECUTIVE_5XX = 3  # failures of any kind in a row that eject
-CONSECUTIVE_GATEWAY_FAILURE = 3  # time-outs, failed connects, resets and broken streams in a row that eject
-INTERVAL_AIMS = 1.5  # interval: this many of the longest aim
-BASE_EJECTION_AIMS = 3.0  # base_ejection_time: likewise
-MAX_EJECTION_TIMES = 6  # max_ejection_time / base_ejection_time
-MAX_EJECTION_PERCENT = 40
-SUCCESS_RATE_MINIMUM_HOSTS = 3
-SUCCESS_RATE_REQUEST_VOLUME = 5
+# Times are integer microseconds. Names with AIMS are multiples of an aim (a wanted time to first token) in the
+# settings; parts and shares are fractions of 1. Envoy's names are used where Envoy has the same setting.
+
+# Outlier detection.
+CONSECUTIVE_5XX = 3  # consecutive failures of any kind that eject a replica
+CONSECUTIVE_GATEWAY_FAILURE = 3  # consecutive time-outs, failed connects, resets and broken streams that eject it
+INTERVAL_AIMS = 1.5  # interval, in longest aims
+BASE_EJECTION_AIMS = 3.0  # base_ejection_time, in longest aims
+MAX_EJECTION_TIMES = 6  # max_ejection_time, in base_ejection_times
+MAX_EJECTION_PERCENT = 40  # of the ready replicas
+SUCCESS_RATE_MINIMUM_HOSTS = 3  # replicas
+SUCCESS_RATE_REQUEST_VOLUME = 5  # attempts that ended within the interval
 SUCCESS_RATE_STDEV_FACTOR = 1300  # thousandths of a standard deviation
-SUCCESS_RATE_MINIMUM_FAILURES = 2  # one failure in a thin volume is no outlier
-SUCCESS_RATE_CHANCE = 2.5  # nor are so many deviations above what the others' share gives by chance
-VOLUME_INTERVALS = 5  # counts under the volume are carried on for this many intervals
-SHARED_TIMEOUTS = 0.5  # above this share of time-outs over all replicas, time-outs single nobody out
-
-FIT_PRIOR = 0.5  # how far a replica's weights may lie from the median's, as a part of them
-FIT_DRIFT = 0.12  # and how far they may move between two samples
-FIT_NOISE = 0.35  # scatter of a sample, as a part of the prediction
-FADE_AIMS = 3.0  # a fit without a sample for so long fades to the median, and is gone after twice that
-KIND_MINIMUM_HOSTS = 3  # so many replicas of a kind with samples have a median of their own
-FAILING_STEP = 0.25  # weight of one outcome in a replica's recent share of failures
-ZONE_STEP = 0.08  # the same for a zone
-ZONE_BAR = 0.5  # which counts above this only: a jam alone fails less
-ZONE_FADE = 0.85  # what an interval leaves of it
-KEPT_ENTRIES = 512  # prefixes and sessions believed kept, a replica
-HELD_KEYS = 4096  # prefixes and sessions whose holders are remembered
-HOLDERS = 6  # holders remembered of one prefix
-HOME_SPREAD = 4.0  # homes of a prefix: this many times its share of the requests, of all replicas
-HOME_LEAST = 2  # and so many at least
-HOME_MOST = 32  # of which so many are asked for a session's home, others for each session
-HOME_USUAL = 4.0  # homes of a prefix while little is known of its share
-HOME_PART = 1 / 8  # or this part of all replicas, where that is more: gateways that just started must agree
-HOME_PRIOR = 100.0  # and for how many requests that stands
-HOME_FADE = 0.95  # what an interval leaves of the requests counted for a prefix
-DECODE_TOKENS = 1000.0  # the work of an answer, as prompt tokens to read
-
-CROWDING = 1.0  # the weight of own streams in the pick, in shortest aims at a large mean number of them
-CROWD_START = 60.0  # mean of all gateways' streams up to which a stream weighs the same
-CROSSING = 7.0  # what the pick adds for another zone: times cross_zone_price, of the shortest aim
-PACE = 3.5  # quick first tokens take about two steps; from this many token aims on, load is shed
-SHED_GAIN = 1.5  # share shed, for each part of that by which they take longer
-QUICK_STEP = 0.05  # how far one sample moves the running median of quick first tokens
-QUICK_READING = 3.0  # a first token counts while what it reads takes so many median intercepts at most
-QUICK_GAP = 4.0  # where samples are rare, one moves the median so many times as far at most
-QUICK_MOST = 8.0  # and how high it goes, in the longest token aims; more than enough to shed all
-LET_IN = 1.0  # of its own give-up time: after this a class of which nothing was sent on has one request let in
-CLASS_PART = 0.5  # of an equal part of the streams here a class may have whatever the others hold; one at least
-CLASS_FADE = 0.8  # what an interval leaves of the requests counted for a class
-IN_TIME_STEP = 0.3  # weight of one attempt in the share of its class that is in time
-IN_TIME_START = 0.7  # of it: nothing is known, which is not enough
-IN_TIME_LEAST = 0.7  # under this share a class without late worth has until its deadline, as the others
-CLASS_ASKED = 0.3  # a class with fewer of them is not there just now
-STANDING = 1.6  # how far its worth moves the share of a class that is shed, either way
-SHED_MOST = 0.9  # some always go, or nothing would tell that it got better
-OVER_SHARE = 1.5  # a tenant floods from this many times its share of recent requests on
-REFUSE_MARGIN = 1.2  # a prediction over this many times the time left can't earn
-HEDGE_TIMES = 3.0  # a second attempt goes out after this many times the predicted first token
-HEDGE_ROOM = 1.3  # and only while this many median predictions still fit before the aim
-PATIENCE_TIMES = 5.0  # a first token this many times as late as predicted is no queue but a hang
-PATIENCE_TIMEOUTS = 0.2  # unless more than this share of attempts, of late, was given up for lateness
-HEDGE_SHARE = 0.03  # second copies, as a share of requests
-HEDGE_BURST = 4.0
-WORK_FADE = 0.97  # what an interval leaves of the most work a replica was seen to bear
-LIKELY = 0.75  # the least part of its capacity, to this power, is what a cold replica likely has
-COLD_LOOKS = 64  # cold replicas that a pick asks for their budget at most
-ANEW = 0.5  # a prompt of which more than this part is to be read where it would go, is read at a cold replica as well
-QUOTA_MOST = 2.5  # of what tenants are due: the most that is taken for what warm replicas bear, whatever was sent
-COLD_SAFETY = 0.8  # part of a cold replica's budget that the gateways together may use
-COLD_FLOW = 0.65  # and where each of them has so little of it that it comes by whole requests
-COLD_READY = 1 / 8  # these lapse after this part of tip_time
-COLD_CHANCE = 1.5  # roots of the budget that may be used beyond it; two are put down to chance
-ROOM_START = 40.0  # streams at a warm replica, of all gateways together, before anything is known
-ROOM_LATE = 0.87  # what a late first token leaves of the room, and what a good one near it makes of it
-ROOM_GOOD = 1.04
-ROOM_EARLY = 1.08  # the same before any late one
-ROOM_LEAST = 10.0  # least and most of it, as ROOM_START
-ROOM_MOST = 400.0
-ROOM_USED = 0.45  # from this part on streams are near the room: they come by chance
-ROOM_HOME = 1.5  # what a replica may hold of requests whose beginning is at home there, and of others
-ROOM_AWAY = 0.75
-ROOM_LATE_PART = 0.5  # of the aim: a first token later than that tells of a crowd
-LATE_IDLE = 4.0  # and this many times as late as on an idle replica: a limit makes nothing sooner than that
-IDLE_STEP = 0.1  # how far a sample moves the time that a prompt token takes on an idle replica;
-IDLE_PART = 0.1  # so many samples take less
-RETRY_SHARE = 0.5  # executions after a time-out, as a share of requests: a general failure multiplies no load
-RETRY_BURST = 5.0
-REPEAT_TRANSIT = 100_000  # microseconds from the first byte of a repeat to its arrival at the replica
-SHUT_FIRST = 0.25  # a refused connect keeps a replica out of the pick for this many shortest aims
-SHUT_LONGEST = 8.0  # doubled at each refusal in a row, up to so many
-TOLD_BY = 6_000_000  # a change counts as told so long after discovery had it and could be reached, heard or not
-ASK_GATEWAY = 1 / 60  # of that, for each gateway, is what calls are spread over, each at its own place in it
-ASK_TOGETHER = 8  # so few ask at once when they start
-ASK_START = 2 / 3  # at most so much of it, when gateways start
-ASK_LOST = 5 / 12  # when watches end; to notice that one has fallen silent takes as long
-ASK_AGAIN = 3 / 4  # and while calls fail, however long: one falls into this time whenever discovery comes back
-ASK_JITTER = 0.05
-ASK_FAILED_FAST = 500_000  # microseconds: a first call that fails sooner may have met a passing fault, and is
-ASK_REPEAT = 250_000  # made again after this
-ASK_AGENT = 50_000  # where each gateway has an agent of its own, a lost watch is opened anew after this
-ASK_AGENT_MOST = 250_000  # doubled while that fails, up to this
-SUBSCRIBE_TAG = 1 << 60  # timer tags below this are request ids
+SUCCESS_RATE_MINIMUM_FAILURES = 2  # a single failure in a low volume doesn't make an outlier
+# Failures up to this many standard deviations above what the other replicas' failure share gives count as chance.
+SUCCESS_RATE_CHANCE_DEVIATIONS = 2.5
+VOLUME_INTERVALS = 5  # intervals for which counts below the request volume are carried over
+SHARED_TIMEOUT_SHARE = 0.5  # above this share of time-outs over all replicas, time-outs single out no replica
+
+# Prediction of the time to first token (TTFT), fitted for each replica.
+FIT_PRIOR = 0.5  # prior standard deviation of a replica's weights, as a part of the median weights
+FIT_DRIFT = 0.12  # standard deviation of their drift between two samples, as a part of the weights
+FIT_NOISE = 0.35  # standard deviation of a sample, as a part of the prediction
+# Without a sample for this many longest aims a fit fades to the median; it is gone after twice that time.
+FIT_LIFETIME_AIMS = 3.0
+KIND_MINIMUM_HOSTS = 3  # replicas of a kind with samples, from which on the kind has a median of its own
+FAILURE_SHARE_STEP = 0.25  # weight of one outcome in a replica's recent share of failures
+ZONE_FAILURE_STEP = 0.08  # weight of one outcome in a zone's recent share of failures
+ZONE_FAILURE_THRESHOLD = 0.5  # a zone's share counts above this only: under mere overload less fails
+ZONE_FAILURE_DECAY = 0.85  # factor on a zone's share at each interval
+
+# Affinity: which replicas are believed to have a prompt's beginning cached, and which are preferred for it.
+CACHE_ENTRIES_PER_REPLICA = 512  # prefixes and sessions believed cached
+REMEMBERED_KEYS_MAX = 4096  # prefixes and sessions whose holders are remembered; refused requests as well
+HOLDERS_PER_KEY = 6  # replicas remembered to hold one prefix or session
+# The preferred replicas of a prefix are this many times its share of the requests, as a part of all replicas.
+PREFERRED_SHARE_FACTOR = 4.0
+PREFERRED_MIN = 2  # preferred replicas of a prefix, at least
+SESSION_CANDIDATES_MAX = 32  # preferred replicas compared to find a session's own one; other ones for each session
+PREFERRED_DEFAULT = 4.0  # preferred replicas of a prefix while little is known of its share
+# Or this part of all replicas, where that is more: gateways that have just started must agree.
+PREFERRED_DEFAULT_PART = 1 / 8
+PREFERRED_PRIOR_REQUESTS = 100.0  # weight of that default, in requests
+PREFIX_REQUESTS_DECAY = 0.95  # factor at each interval on the requests counted for a prefix
+DECODE_WORK_TOKENS = 1000.0  # the work of generating an answer, as prompt tokens to prefill
+
+# Cost of streams and of other zones in the pick.
+STREAM_COST_AIMS = 1.0  # weight of own streams at a large mean number of them, in shortest aims
+STREAM_COST_KNEE = 60.0  # all gateways' streams for each replica, up to which a stream weighs the same
+ZONE_CROSSING_AIMS = 7.0  # added for another zone: this many shortest aims, times cross_zone_price
+
+# Load shedding, by the time to first token of requests with little to prefill: it is about two decode steps.
+PACE = 3.5  # mean token aims in that time from which on load is shed
+SHED_GAIN = 1.5  # share that is shed, for each part by which that time is longer
+LIGHT_TTFT_STEP = 0.05  # how far one sample moves the running median, as a part of it
+LIGHT_PREFILL_INTERCEPTS = 3.0  # a sample counts while its prefill takes at most this many median intercepts
+LIGHT_TTFT_STEP_MAX_FACTOR = 4.0  # where samples are rare, one moves the median at most this many times as far
+LIGHT_TTFT_MAX_TOKEN_AIMS = 8.0  # upper limit of the median, in longest token aims: more than enough to shed all
+CLASS_PROBE_GIVE_UPS = 1.0  # give_up times of a class without any request sent on, after which one is let through
+# Part of an equal share of this gateway's streams that a class may have whatever the others hold, at least one
+# stream.
+CLASS_RESERVED_PART = 0.5
+CLASS_REQUESTS_DECAY = 0.8  # factor at each interval on the requests counted for a class
+ON_TIME_STEP = 0.3  # weight of one attempt in its class's share of attempts that meet the aim
+ON_TIME_START = 0.7  # that share while nothing is known: not above ON_TIME_MIN, so not enough
+ON_TIME_MIN = 0.7  # up to this share a class without late worth has until its deadline, as the others have
+CLASS_ACTIVE_REQUESTS = 0.3  # a class with no more recent requests than this counts as absent
+PRIORITY_MAX_FACTOR = 1.6  # how far a class's worth raises or lowers the share of it that is shed
+SHED_MOST = 0.9  # share of the requests; some are always sent, or no sample would show a recovery
+OVER_SHARE_FACTOR = 1.5  # a tenant floods from this many times its share of the recent requests on
+REFUSE_MARGIN = 1.2  # a prediction above this many times the time left can't earn anything
+
+# Hedges and time-outs.
+HEDGE_TIMES = 3.0  # predicted times to first token after which a second attempt is sent
+HEDGE_RESERVE_PREDICTIONS = 1.3  # median predictions that have to fit before the aim for another attempt
+PATIENCE_TIMES = 5.0  # a first token this many times as late as predicted means a hang and not a queue
+PATIENCE_MAX_TIMEOUT_SHARE = 0.2  # unless more than this share of the recent attempts timed out
+HEDGE_SHARE = 0.03  # second attempts, as a share of the requests
+HEDGE_BURST = 4.0  # second attempts that may be saved up
+
+# Warm-up budget of replicas that started a short time ago.
+PEAK_WORK_DECAY = 0.97  # factor at each interval on the highest rate of work that a replica was seen to serve
+LIKELY_CAPACITY_EXPONENT = 0.75  # a cold replica's least part of its capacity, to this power, is its likely part
+COLD_CANDIDATES_MAX = 64  # cold replicas whose budget one pick checks, at most
+COLD_PREFILL_PART = 0.5  # a prompt with more than this part to prefill at the best warm replica may go to a cold one
+# Upper limit of the work that warm replicas are taken to serve, in the tenants' quotas, whatever was sent to them.
+PEAK_WORK_MAX_QUOTAS = 2.5
+COLD_SAFETY = 0.8  # part of a cold replica's budget that all gateways together may use
+COLD_SAFETY_WHOLE_REQUESTS = 0.65  # the same where a gateway's part is so small that it is spent in whole requests
+WARMUP_EXPIRY_PART = 1 / 8  # unspent whole requests expire after this part of tip_time
+# Standard deviations (square roots of the budget in requests) that may be used beyond it; two would still be chance.
+WARMUP_CHANCE_DEVIATIONS = 1.5
+
+# Concurrency limit: streams at a warm replica, of all gateways together.
+CONCURRENCY_START = 40.0  # streams, before anything is known
+CONCURRENCY_DECREASE = 0.87  # factor at a late first token
+CONCURRENCY_INCREASE = 1.04  # factor at a first token in time while the limit is nearly used
+CONCURRENCY_INCREASE_START = 1.08  # the same before the first late one
+CONCURRENCY_MIN = 10.0  # streams
+CONCURRENCY_MAX = 400.0  # streams
+CONCURRENCY_USED_PART = 0.45  # the limit counts as nearly used from this part on: streams arrive at random
+CONCURRENCY_PREFERRED = 1.5  # factor on the limit for requests whose beginning is preferred there
+CONCURRENCY_OTHERS = 0.75  # factor on the limit for all other requests
+LATE_AIM_PART = 0.5  # a first token after this part of the aim shows saturation,
+LATE_IDLE_FACTOR = 4.0  # if it also takes this many times as long as on an idle replica: no limit improves on that
+PREFILL_TIME_STEP = 0.1  # how far a sample moves the time that a prompt token takes on an idle replica
+PREFILL_TIME_QUANTILE = 0.1  # the part of the samples that lies below that time
+
+# Retries, and the backoff after refused connects.
+RETRY_SHARE = 0.5  # attempts after a time-out, as a share of the requests: retries don't multiply a general failure
+RETRY_BURST = 5.0  # such attempts that may be saved up
+REPEAT_TRANSIT_US = 100_000  # from the first byte of a repeat to its arrival at the replica
+CONNECT_BACKOFF_FIRST_AIMS = 0.25  # shortest aims for which the first refused connect keeps a replica out of the pick
+CONNECT_BACKOFF_MAX_AIMS = 8.0  # doubled at each consecutive refusal, up to this many shortest aims
+
+# Subscriptions to discovery.
+# A gateway counts as notified of a change this long after discovery had it and could be reached, received or not.
+LIST_CHANGE_DEADLINE_US = 6_000_000
+# The spans below, over which calls are spread, are parts of that time. Each gateway has its own place in a span.
+SUBSCRIBE_SPAN_PER_GATEWAY = 1 / 60  # the span grows by this for each gateway
+SUBSCRIBE_AT_ONCE_GATEWAYS = 8  # up to this many gateways all call at once when they start
+SUBSCRIBE_SPAN_START = 2 / 3  # longest span when gateways start
+SUBSCRIBE_SPAN_LOST = 5 / 12  # longest span when watches end; noticing that a watch has fallen silent takes as long
+# Longest span while calls fail, for however long: whenever discovery comes back, the next call is within this time.
+SUBSCRIBE_SPAN_RETRY = 3 / 4
+SUBSCRIBE_JITTER = 0.05  # largest random change of a delay, as a part of it
+SUBSCRIBE_FAST_FAILURE_US = 500_000  # a first call that fails sooner may have met a passing fault
+SUBSCRIBE_FAST_RETRY_US = 250_000  # and is repeated after this
+AGENT_RETRY_US = 50_000  # a lost watch is reopened after this where each gateway has an agent of its own
+AGENT_RETRY_MAX_US = 250_000  # doubled while that fails, up to this
+SUBSCRIBE_TAG = 1 << 60  # tag of the subscription timer; tags below it are request ids
 
 
 class _Attempt:
-    """One send; `replica` stays valid after the list forgot it."""
+    """One sending of a request to a replica. `replica` stays valid after the list has dropped it."""
 
-    __slots__ = ("replica", "number", "sent", "zone", "cell", "predicted", "load", "streams", "unread",
-                 "age", "result", "waiting", "unreached", "likely")  # fmt: skip
+    __slots__ = ("replica", "number", "sent_at", "zone", "cell", "predicted", "load", "streams", "prefill_tokens",
+                 "cache_entry_age", "result", "waiting", "connect_timed_out", "likely_capacity")  # fmt: skip
 
     def __init__(
-        self, replica: _Replica, number: int, sent: int, predicted: float, unread: float, likely: float
+        self,
+        replica: _Replica,
+        number: int,
+        sent_at: int,
+        predicted: float,
+        prefill_tokens: float,
+        likely_capacity: float,
     ) -> None:
         self.replica = replica
-        self.likely = likely  # the part of its capacity that the replica likely had
+        self.likely_capacity = likely_capacity  # the part of its capacity that the replica likely had
         self.number = number
-        self.sent = sent
+        self.sent_at = sent_at
         self.zone = replica.zone
         self.cell = replica.cell
-        self.predicted = predicted
-        self.load = (replica.unread + unread) / 1000
-        self.streams = replica.streams
-        self.unread = unread
-        self.age = -1  # of the belief that the prefix is kept there; -1: none
-        self.result = -1  # out
+        self.predicted = predicted  # time to first token, in microseconds
+        self.load = (replica.prefill_tokens + prefill_tokens) / 1000  # thousands of tokens to prefill, with its own
+        self.streams = replica.streams  # own streams at the replica before it
+        self.prefill_tokens = prefill_tokens  # of its own prompt
+        self.cache_entry_age = -1  # of the belief that its prefix is cached there, in microseconds; -1: none
+        self.result = -1  # in flight
         self.waiting = True  # for its first token
-        self.unreached = False  # its connect never came up; a refused one says that the way is there
+        self.connect_timed_out = False  # a refused connect, in contrast, shows that the replica can be reached
 
 
-class _Call:
-    """A request this gateway has taken, until it is answered and its attempts have ended."""
+class _PendingRequest:
+    """A request that this gateway has accepted, until it is answered and its attempts have ended."""
 
-    __slots__ = ("request", "klass", "state", "born", "aim_at", "earn_by", "attempts", "out", "answered", "streaming",
-                 "hedge_at", "homes_ring", "homes_from", "homes", "session_home")  # fmt: skip
+    __slots__ = ("request", "klass", "state", "first_asked_at", "aim_at", "useful_until", "attempts", "in_flight",
+                 "answered", "streaming", "hedge_at", "preferred_ring", "preferred_start", "preferred_count",
+                 "session_index")  # fmt: skip
 
-    def __init__(self, request: Request, klass: RequestClass, born: int, state: _ClassState | None = None) -> None:
+    def __init__(
+        self, request: Request, klass: RequestClass, first_asked_at: int, state: _ClassState | None = None
+    ) -> None:
         self.request = request
         self.klass = klass
         self.state = state or _ClassState()
-        self.born = born  # when its client asked first, as far as this gateway knows
-        self.aim_at = born + klass.aim + int(klass.aim_per_1000_tokens * request.prompt_tokens / 1000)
-        self.earn_by = request.deadline
+        self.first_asked_at = first_asked_at  # when its client asked first, as far as this gateway knows
+        self.aim_at = first_asked_at + klass.aim + int(klass.aim_per_1000_tokens * request.prompt_tokens / 1000)
+        self.useful_until = request.deadline  # an answer that begins later earns nothing
         self.attempts: list[_Attempt] = []
-        self.out = 0
+        self.in_flight = 0  # attempts without an outcome
         self.answered = False
         self.streaming = False
-        self.hedge_at = 0
-        self.homes_ring: list[_Replica] | None = None  # that the homes were found on
-        self.homes_from = 0  # the place there where the homes of the prefix begin
-        self.homes = 0  # how many they are
-        self.session_home = -1  # the place of the session's
+        self.hedge_at = 0  # when a second attempt is due; 0: none
+        self.preferred_ring: list[_Replica] | None = None  # the ring to which the three fields below refer
+        self.preferred_start = 0  # index of the prefix's first preferred replica
+        self.preferred_count = 0  # how many follow each other from there
+        self.session_index = -1  # index of the session's own preferred replica; -1: none
 
 
 class _ClassState:
     """What this gateway knows of one class of requests."""
 
-    __slots__ = ("asked", "out", "sent_at", "in_time", "hedges", "retries")
+    __slots__ = ("recent_requests", "in_flight", "last_sent_at", "on_time_share", "hedge_budget", "retry_budget")
 
     def __init__(self) -> None:
-        self.asked = 0.0  # recent requests
-        self.out = 0  # own attempts out
-        self.sent_at = 0  # when a request was sent on last
-        self.in_time = IN_TIME_START  # recent share of attempts whose first token came before the aim
-        self.hedges = HEDGE_BURST
-        self.retries = RETRY_BURST
+        self.recent_requests = 0.0  # decayed count
+        self.in_flight = 0  # own attempts without an outcome
+        self.last_sent_at = 0
+        self.on_time_share = ON_TIME_START  # recent share of attempts whose first token came before the aim
+        self.hedge_budget = HEDGE_BURST  # second attempts that may be sent
+        self.retry_budget = RETRY_BURST  # attempts after a time-out that may be sent
 
 
 class _Replica:
-    __slots__ = ("id", "zone", "cell", "kind", "mark", "place", "ready", "started",
-                 "consecutive_5xx", "consecutive_gateway_failure", "successes", "volume", "thin",
+    """What this gateway knows of one replica: its entry in the list, its results and its fit.
+
+    The fit predicts the time to first token, in microseconds: w0 + w1 * (thousands of tokens to prefill) + w2 * (own
+    streams). p00 to p22 are the covariances of these weights.
+    """
+
+    __slots__ = ("id", "zone", "cell", "kind", "ring_hash", "ring_index", "ready", "started",
+                 "consecutive_5xx", "consecutive_gateway_failure", "successes", "volume", "volume_intervals",
                  "multiplier", "ejected_until",
-                 "w0", "w1", "w2", "p00", "p01", "p02", "p11", "p12", "p22", "fitted",
-                 "failing", "full_until", "shut_until", "shut", "waiting", "unread", "streams", "kept", "hold",
-                 "strays", "luck", "cold_debt", "cold_ready", "cold_at")  # fmt: skip
+                 "w0", "w1", "w2", "p00", "p01", "p02", "p11", "p12", "p22", "fitted_at",
+                 "failure_share", "full_until", "connect_backoff_until", "connect_backoff", "waiting",
+                 "prefill_tokens", "streams", "cached", "cache_time", "unexpected_hit_share", "limit_rounding",
+                 "warmup_overdraft", "warmup_unexpired", "warmup_updated_at")  # fmt: skip
 
     def __init__(self, entry: Replica) -> None:
         self.id = entry.id
-        self.mark = _mix(entry.id)  # its order on the ring
-        self.luck = 0.0  # of this gateway there: where it may have part of a stream, it has one or none
-        self.place = 0
+        self.ring_hash = _hash64(entry.id)  # its order on the ring
+        # Added to this gateway's limit of streams before it is rounded down, from 0 to 1: where the limit is a part
+        # of a stream, some gateways have one stream and the others none.
+        self.limit_rounding = 0.0
+        self.ring_index = 0
         self.waiting: dict[_Attempt, None] = {}  # own attempts without a first token, oldest first
-        self.unread = 0.0  # prompt tokens these still have to have read
-        self.streams = 0  # own attempts out
+        self.prefill_tokens = 0.0  # prompt tokens that these still have to have prefilled
+        self.streams = 0  # own attempts in flight
         self.ready = False
         self.renew(entry)
 
     def renew(self, entry: Replica) -> None:
-        """A new process: what was learned of the one before is void, but for attempts still out."""
+        """Forgets what was learned of the previous process. Attempts in flight still count."""
         self.zone = entry.zone
         self.cell = entry.cell
         self.kind = entry.kind
@@ -237,35 +288,37 @@
         self.consecutive_5xx = 0
         self.consecutive_gateway_failure = 0
         self.successes = 0
-        self.volume = 0
-        self.thin = 0
-        self.multiplier = 0
+        self.volume = 0  # attempts that ended, whether well or not
+        self.volume_intervals = 0  # intervals over which both were counted
+        self.multiplier = 0  # of base_ejection_time at the last ejection
         self.ejected_until = 0
         self.w0 = self.w1 = self.w2 = 0.0
         self.p00 = self.p01 = self.p02 = self.p11 = self.p12 = self.p22 = 0.0
-        self.fitted = -1  # when the fit had its last sample; -1: never
-        self.failing = 0.0
+        self.fitted_at = -1  # when the fit had its last sample; -1: never
+        self.failure_share = 0.0  # recent share of attempts that failed
         self.full_until = 0
-        self.shut_until = 0
-        self.shut = 0  # for how long it was kept out at its last refused connect
-        self.kept: dict[int, tuple[float, int]] = {}  # session or ~prefix: tokens, when
-        self.hold = 1 << 50  # how long what it read is believed kept
-        self.strays = 0.0  # share of a prefix found kept where it was not believed
-        self.cold_debt = 0.0  # work sent ahead of the cold budget; below 0: what lies ready of it
-        self.cold_ready = 0.0  # what lies ready before it lapses
-        self.cold_at = -1  # when that was reckoned; -1: not begun
-
-
-def _mix(id: int) -> int:
+        self.connect_backoff_until = 0
+        self.connect_backoff = 0  # for how long it was left out after its last refused connect
+        self.cached: dict[int, tuple[float, int]] = {}  # session or ~prefix: tokens believed cached, since when
+        self.cache_time = 1 << 50  # for how long a prompt is believed to stay cached
+        self.unexpected_hit_share = 0.0  # part of a prefix found cached where that was not believed
+        self.warmup_overdraft = 0.0  # tokens of work sent beyond the warm-up budget; below 0: budget left unspent
+        self.warmup_unexpired = 0.0  # how much unspent budget is kept before it expires
+        self.warmup_updated_at = -1  # when both were computed last; -1: no budget in use
+
+
+def _hash64(id: int) -> int:
+    """A well mixed hash of 64 bits, the same at all gateways."""
     mixed = (id + 0x9E3779B97F4A7C15) * 0xBF58476D1CE4E5B9 & (1 << 64) - 1
     return (mixed ^ mixed >> 29) * 0x94D049BB133111EB & (1 << 64) - 1
 
 
-def _mark(replica: _Replica) -> int:
-    return replica.mark
+def _ring_hash(replica: _Replica) -> int:
+    return replica.ring_hash
 
 
-def _median(fits: list[_Replica]) -> tuple[float, float, float]:
+def _median_weights(fits: list[_Replica]) -> tuple[float, float, float]:
+    """The median of each weight of the fits."""
     half = len(fits) // 2
     return (
         sorted(r.w0 for r in fits)[half],
@@ -278,61 +331,62 @@
     """The decisions of one gateway."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self._adopt(settings)
+        self._apply_settings(settings)
         self.random = Random(seed).random
-        self.salt = _mix(seed)
+        self.salt = _hash64(seed)
         self.now = 0
         self.actions: list[Action] = []
-        self.calls: dict[int, _Call] = {}
-        self.held: dict[int, _Call] = {}  # no replica to send to yet
+        self.pending: dict[int, _PendingRequest] = {}  # by request id
+        self.queued: dict[int, _PendingRequest] = {}  # those of them without a replica to send to yet
         self.replicas: dict[int, _Replica] = {}
-        self.near: list[_Replica] = []  # ready, not ejected, own zone
-        self.far: list[_Replica] = []
-        self.ready = 0
-        self.most_ready = 0
+        self.near: list[_Replica] = []  # ready, not ejected, in this gateway's zone
+        self.far: list[_Replica] = []  # the same in all other zones
+        self.ready = 0  # replicas, ejected ones included
+        self.max_ready = 0
         self.ejected = 0
-        self.next_return = 1 << 62
-        self.next_sweep = 0
-        # The prediction of a replica without samples: intercept, a thousand unread tokens, a stream.
-        self.median = (self.shortest / 10, self.shortest / 8, self.shortest / 100)
-        self.medians: dict[int, tuple[float, float, float]] = {}  # by kind, where enough have samples
-        self.learned = False  # the median comes from samples
-        self.timeouts = 0.0  # recent share of time-outs over all replicas
+        self.next_ejection_end = 1 << 62
+        self.interval_ends_at = 0
+        # The weights for replicas without samples: intercept, a thousand tokens to prefill, a stream.
+        self.median_weights = (self.shortest_aim / 10, self.shortest_aim / 8, self.shortest_aim / 100)
+        self.kind_medians: dict[int, tuple[float, float, float]] = {}  # by kind, where enough replicas have samples
+        self.median_learned = False  # the median comes from samples
+        self.timeout_share = 0.0  # recent share of time-outs over all replicas
         self.states = [_ClassState() for _ in settings.classes]
-        self.room = ROOM_START / settings.gateways  # own streams for each replica's worth of capacity
-        self.crowded = False  # a late first token was seen
+        self.concurrency_limit = CONCURRENCY_START / settings.gateways  # own streams for a warm replica's capacity
+        self.saturated = False  # a late first token was seen
         self.capacity = 1.0  # of the ready replicas, in warm ones
-        self.capacity_at = -1
-        self.out = 0  # own attempts out
-        self.crowding = 0.0  # what one stream weighs in the pick under way
-        self.zone_failing = [0.0] * settings.zones  # recent share of time-outs and failed connects
-        self.zone_least = [1 << 62] * settings.zones  # the shortest first token from a zone
-        self.read_time = 0.0  # that a prompt token takes on an idle replica; 0: no sample yet
-        # Running median of first tokens with little to read before them; no alarm before samples.
-        self.quick = min((klass.token_aim for klass in settings.classes if klass.token_aim), default=1.0)
-        self.quick_at = 0
-        self.token_aim = 0.0  # of the usual request here; 0: none of them has one
-        self.mean_worth = 0.0  # of what was asked
-        self.turned_away: dict[tuple[int, float], int] = {}  # session and prompt: when it came first
-        self.asked_share = list(settings.tenant_shares)  # each tenant's part of recent requests here
-        self.holders: dict[int, list[int]] = {}  # session or ~prefix: ids of replicas believed to hold it
-        self.asked_prefix: dict[int, float] = {}  # recent requests of each prefix here
-        self.asked_prefixes = 0.0  # and their sum
-        self.ring: list[_Replica] = []  # ready, of all zones, in an order by hash; a new one at each change
-        self.session_kept = 0.5  # share of a prompt found kept at its session's home
-        self.home_kept = 0.5  # share of a prefix found kept at its homes, where others must have brought it
-        self.work_sent = 0.0  # since the last sweep
-        self.work_rate = 0.0  # of this gateway, a second and warm replica
-        self.usual_work = 0.0  # of a request here; 0: none yet
-        self.work_borne = 0.0  # the most of it, of late
-        self.cold: list[_Replica] = []  # ready and started not long ago
-        self.cold_late = 0  # lapsed parts of their budgets that may be used for now
-        self.cold_late_time = -1
+        self.capacity_updated_at = -1
+        self.in_flight = 0  # own attempts without an outcome
+        self.stream_cost = 0.0  # microseconds that one stream adds to a replica's score, in the current pick
+        self.zone_failure_share = [0.0] * settings.zones  # recent share of time-outs and failed connects
+        self.zone_shortest_ttft = [1 << 62] * settings.zones
+        self.prefill_time = 0.0  # microseconds that a prompt token takes on an idle replica; 0: no sample yet
+        # Running median of the time to first token where there is little to prefill: about two decode steps. It
+        # starts so low that nothing is shed before there are samples.
+        self.light_ttft = min((klass.token_aim for klass in settings.classes if klass.token_aim), default=1.0)
+        self.light_ttft_at = 0  # its last sample
+        self.token_aim = 0.0  # running mean over the requests that have one; 0: none of them has
+        self.mean_worth = 0.0  # running mean over the requests
+        self.first_tries: dict[tuple[int, float], int] = {}  # refused session and prompt tokens: when it came first
+        self.tenant_request_share = list(settings.tenant_shares)  # each tenant's part of the recent requests here
+        self.holders: dict[int, list[int]] = {}  # session or ~prefix: ids of replicas believed to have it cached
+        self.prefix_requests: dict[int, float] = {}  # recent requests of each prefix here
+        self.prefix_requests_total = 0.0
+        self.ring: list[_Replica] = []  # ready replicas of all zones, ordered by hash; a new list at each change
+        self.session_hit_share = 0.5  # part of a prompt found cached at its session's own preferred replica
+        self.preferred_hit_share = 0.5  # part of a prefix found cached at preferred replicas, sent there by others
+        self.work_sent = 0.0  # tokens, since the last interval ended
+        self.work_rate = 0.0  # tokens a second, of this gateway for each warm replica
+        self.usual_work = 0.0  # running mean of a request's work, in tokens; 0: no request yet
+        self.peak_work_rate = 0.0  # recent maximum of work_rate
+        self.cold: list[_Replica] = []  # ready, and started less than cold_time ago
+        self.expired_allowance = 0  # requests of expired warm-up budgets that may still be sent in the current period
+        self.expired_allowance_period = -1
         self.subscribed = False
-        self.asked = 0  # calls since there was a watch
-        self.asked_at = 0  # the last of them
-        self.list_verified = not settings.subscribe  # by discovery, or by a call that found it unreachable
-        self.ask_at = 0
+        self.subscribe_calls = 0  # since the last watch
+        self.subscribe_called_at = 0  # the last of them
+        self.list_verified = not settings.subscribe  # by discovery, or by a call that found discovery unreachable
+        self.subscribe_at = 0
         self._handlers: dict[type, Any] = {
             Request: self._on_request,
             FirstToken: self._on_first_token,
@@ -342,559 +396,644 @@
             ReplicaList: self._on_list,
         }
 
-    def _adopt(self, settings: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         self.settings = settings
         longest = max(max(klass.aim, klass.give_up // 20) for klass in settings.classes)
-        # One class that wants its answers at once must not make what is remembered for all forgotten at once.
-        self.shortest = max(min(klass.aim for klass in settings.classes), longest // 20, 1)
+        # A floor, as one class with a very short aim must not shorten what is remembered for all classes.
+        self.shortest_aim = max(min(klass.aim for klass in settings.classes), longest // 20, 1)
         self.interval = int(INTERVAL_AIMS * longest)
         self.base_ejection_time = int(BASE_EJECTION_AIMS * longest)
         self.max_ejection_time = MAX_EJECTION_TIMES * self.base_ejection_time
-        self.fade = FADE_AIMS * longest
-        self.crossing = CROSSING * settings.cross_zone_price * self.shortest
+        self.fit_lifetime = FIT_LIFETIME_AIMS * longest
+        self.zone_crossing_cost = ZONE_CROSSING_AIMS * settings.cross_zone_price * self.shortest_aim
         token_aims = [klass.token_aim for klass in settings.classes if klass.token_aim] or [1.0]
-        self.quick_most = QUICK_MOST * max(token_aims)  # a burst must not keep load shed long after it
+        # Without a maximum a burst would keep load shed long after it has ended.
+        self.light_ttft_max = LIGHT_TTFT_MAX_TOKEN_AIMS * max(token_aims)
 
     def reconfigure(self, settings: Settings, classes: Sequence[int], tenants: Sequence[int]) -> None:
-        """Other classes, tenants and limits; for each its number before, or -1. What is open ends as it began."""
+        """Takes over other classes, tenants and limits.
+
+        `classes` and `tenants` give each one's index before, or -1. Pending requests keep the class they began with.
+        """
         self.states = [self.states[old] if old >= 0 else _ClassState() for old in classes]
         shares = settings.tenant_shares
-        self.asked_share = [self.asked_share[old] if old >= 0 else shares[new] for new, old in enumerate(tenants)]
-        self._adopt(settings)
+        self.tenant_request_share = [
+            self.tenant_request_share[old] if old >= 0 else shares[new] for new, old in enumerate(tenants)
+        ]
+        self._apply_settings(settings)
 
     def start(self, now: int) -> list[Action]:
         self.now = now
         self.actions = []
-        self.next_sweep = now + self.interval
+        self.interval_ends_at = now + self.interval
         if self.settings.subscribe:
-            if self.settings.gateways <= ASK_TOGETHER or self.settings.pushed:
+            if self.settings.gateways <= SUBSCRIBE_AT_ONCE_GATEWAYS or self.settings.pushed:
                 self._subscribe()
             else:
-                self._ask_later(ASK_START)
+                self._schedule_subscribe(SUBSCRIBE_SPAN_START)
         return self.actions
 
     def handle(self, now: int, event: Event) -> list[Action]:
         self.now = now
         self.actions = []
-        if now >= self.next_sweep:
-            self._sweep()
-        if now >= self.next_return:
-            self._rebuild()
-        if handler := self._handlers.get(type(event)):  # reports and peers' messages move no decision
+        if now >= self.interval_ends_at:
+            self._end_interval()
+        if now >= self.next_ejection_end:
+            self._rebuild_pools()
+        if handler := self._handlers.get(type(event)):  # load reports and peer messages affect no decision
             handler(event)
         return self.actions
 
     # -- requests ------------------------------------------------------------------------------------------
 
     def _on_request(self, request: Request) -> None:
-        if request.id in self.calls:
+        if request.id in self.pending:
             return
         classes = self.settings.classes
         if request.class_index >= len(classes) or request.deadline <= self.now:
             self.actions.append(Refuse(request.id, why="class or deadline"))
             return
         klass = classes[request.class_index]
-        born = self.now
+        first_asked_at = self.now
         if request.session:
-            # A client that comes back after a refusal asks for the same prompt; its aim runs from its first
-            # try. Served as new, such repeats would keep an overload going with work that can't earn.
-            first = self.turned_away.get((request.session, request.prompt_tokens), born)
-            born = first if born - first < klass.give_up else born
+            # A client that comes back after a refusal sends the same prompt; its aim runs from its first try. Served
+            # as new requests, such repeats would prolong an overload with work that can't earn anything.
+            first_try = self.first_tries.get((request.session, request.prompt_tokens), first_asked_at)
+            first_asked_at = first_try if first_asked_at - first_try < klass.give_up else first_asked_at
         state = self.states[request.class_index]
-        state.asked += 1.0
+        state.recent_requests += 1.0
         self.mean_worth += 0.05 * (klass.worth - self.mean_worth) if self.mean_worth else klass.worth
-        state.hedges = min(HEDGE_BURST, state.hedges + HEDGE_SHARE)
-        state.retries = min(RETRY_BURST, state.retries + RETRY_SHARE)
-        call = _Call(request, klass, born, state)
-        if klass.late_worth <= 0 and state.in_time > IN_TIME_LEAST:  # else its client waits on all the same
-            call.earn_by = min(request.deadline, call.aim_at)
-        work = request.prompt_tokens + DECODE_TOKENS
+        state.hedge_budget = min(HEDGE_BURST, state.hedge_budget + HEDGE_SHARE)
+        state.retry_budget = min(RETRY_BURST, state.retry_budget + RETRY_SHARE)
+        pending = _PendingRequest(request, klass, first_asked_at, state)
+        if klass.late_worth <= 0 and state.on_time_share > ON_TIME_MIN:  # else its client waits longer anyway
+            pending.useful_until = min(request.deadline, pending.aim_at)
+        work = request.prompt_tokens + DECODE_WORK_TOKENS
         self.usual_work += 0.02 * (work - self.usual_work) if self.usual_work else work
         if klass.token_aim:
             self.token_aim += 0.05 * (klass.token_aim - self.token_aim) if self.token_aim else klass.token_aim
-        if request.tenant < len(self.asked_share):
-            self.asked_share = [0.98 * share for share in self.asked_share]
-            self.asked_share[request.tenant] += 0.02
+        if request.tenant < len(self.tenant_request_share):
+            self.tenant_request_share = [0.98 * share for share in self.tenant_request_share]
+            self.tenant_request_share[request.tenant] += 0.02
         if request.prefix:
-            self.asked_prefix[request.prefix] = self.asked_prefix.get(request.prefix, 0.0) + 1.0
-            self.asked_prefixes += 1.0
-        self.calls[request.id] = call
-        self._place(call)
-
-    def _place(self, call: _Call) -> None:
-        """Sends the next attempt of a call that has none out, holds it, or ends it."""
-        left = call.earn_by - self.now
-        if not self.list_verified and left > 0 and self.settings.gateways > ASK_TOGETHER:
-            self._hold_for_list(call, left)
+            self.prefix_requests[request.prefix] = self.prefix_requests.get(request.prefix, 0.0) + 1.0
+            self.prefix_requests_total += 1.0
+        self.pending[request.id] = pending
+        self._dispatch(pending)
+
+    def _dispatch(self, pending: _PendingRequest) -> None:
+        """Sends the next attempt of a request that has none in flight, queues the request, or ends it."""
+        left = pending.useful_until - self.now
+        if not self.list_verified and left > 0 and self.settings.gateways > SUBSCRIBE_AT_ONCE_GATEWAYS:
+            self._enqueue_until_list(pending, left)
             return
-        if left <= 0 or len(call.attempts) >= self.settings.max_attempts or not self._may_resend(call):
-            self._end(call, "too late" if left <= 0 else "attempts")
+        if left <= 0 or len(pending.attempts) >= self.settings.max_attempts or not self._may_resend(pending):
+            self._refuse_or_fail(pending, "too late" if left <= 0 else "attempts")
             return
-        call.homes_ring = None  # shares have changed since the last attempt
-        replica, predicted = self._choose(call, left)
+        pending.preferred_ring = None  # the prefixes' shares have changed since the last attempt
+        replica, predicted = self._pick_replica(pending, left)
         if replica is None:
-            self._hold(call, left)
-        elif (why := self._hopeless(call, replica, predicted, left)) and self._may_refuse(call):
-            self._end(call, why)
+            self._enqueue(pending, left)
+        elif (why := self._refusal_reason(pending, replica, predicted, left)) and self._may_refuse(pending):
+            self._refuse_or_fail(pending, why)
         else:
-            self._send(call, replica, predicted, left)
+            self._send(pending, replica, predicted, left)
 
-    def _due(self, call: _Call) -> bool:
-        """Nothing of its class was sent on for long. Then one goes, or what was learned would never be put right."""
-        return not call.attempts and self.now - call.state.sent_at > LET_IN * call.klass.give_up
+    def _needs_class_probe(self, pending: _PendingRequest) -> bool:
+        """Whether it is let through as a probe: no request of its class was sent on for a give-up time.
 
-    def _hopeless(self, call: _Call, replica: _Replica, predicted: float, left: int) -> str:
-        """Why the best replica found won't do, or nothing: it would answer too late, or tokens come too slowly
-        everywhere. Then a refusal costs this request nothing and spares the others."""
-        if self._due(call):
+        Without probes, what was learned against the class would never be corrected.
+        """
+        return (
+            not pending.attempts
+            and self.now - pending.state.last_sent_at > CLASS_PROBE_GIVE_UPS * pending.klass.give_up
+        )
+
+    def _refusal_reason(self, pending: _PendingRequest, replica: _Replica, predicted: float, left: int) -> str:
+        """Why the request should not be sent to the best replica found; empty if it should.
+
+        The replica would answer too late, or tokens come too slowly everywhere. Then a refusal costs this request
+        nothing and relieves the others.
+        """
+        if self._needs_class_probe(pending):
             return ""
-        if self._shed(call):
+        if self._should_shed(pending):
             return "pace"
-        # Every replica is home to some: what is out to all of them together stays bounded as well, or a jam of
-        # hundreds of gateways never ends. Sent elsewhere it would have to be read anew, and there is no room either.
-        limit = max(1.0, ROOM_HOME * self.room * self._capacity_now())
-        full = (self.crowded and self.out >= limit) or replica.streams >= self._slots(replica, call)
-        if full and call.state.out >= self._class_part(limit):
-            return "crowded"  # nowhere is there room: one more would make all that run there late
-        if call.attempts and predicted > left:
-            return "again"  # sent again for nothing, over a connection that costs the replica a handshake
-        if left < self.quick:
-            return "too late"  # nor does any replica begin so soon: of 403 sent so late 13 got a first token
-        if not replica.waiting and (replica.fitted < 0 or self.now - replica.fitted > self.shortest):
-            return ""  # a scout goes all the same, so that a wrong prediction can't refuse for good
+        # Every replica is preferred for some requests, with a higher limit. So the streams at all of them together
+        # are bounded as well, or an overload by hundreds of gateways would never end. Sent to another replica the
+        # prompt would have to be prefilled anew, and there is no capacity for that either.
+        limit = max(1.0, CONCURRENCY_PREFERRED * self.concurrency_limit * self._ready_capacity())
+        full = (self.saturated and self.in_flight >= limit) or replica.streams >= self._stream_limit(replica, pending)
+        if full and pending.state.in_flight >= self._class_reserved_streams(limit):
+            return "crowded"  # no capacity anywhere: one more stream would make all the others there late
+        if pending.attempts and predicted > left:
+            return "again"  # a useless retry, over a connection that costs the replica a handshake
+        if left < self.light_ttft:
+            return "too late"  # no replica begins so soon: of 403 requests sent so late 13 got a first token
+        if not replica.waiting and (replica.fitted_at < 0 or self.now - replica.fitted_at > self.shortest_aim):
+            return ""  # a probe is sent anyway, so that a wrong prediction can't refuse requests forever
         return "predicted" if predicted > REFUSE_MARGIN * left else ""
 
-    def _shed(self, call: _Call) -> bool:
-        """In proportion, while tokens come slowly everywhere. It needs no sample of the replica picked: in a
-        large fleet there is hardly ever a recent one, and nothing would be shed. How slowly is the replicas' matter
-        and one for all classes, by the token aim of the usual request: by its own, a class that wants tokens
-        sooner than the others would be refused all but whole while these are let in."""
-        over = self.quick / (PACE * self.token_aim) - 1 if self.token_aim else 0.0
+    def _should_shed(self, pending: _PendingRequest) -> bool:
+        """Sheds load in proportion to how slowly tokens come everywhere.
+
+        It needs no sample of the replica picked: in a large fleet there is hardly ever a recent one, and nothing
+        would be shed. The measure is one for all classes, by the mean token aim. By its own token aim, a class that
+        wants tokens sooner than the others would be refused nearly completely while the others are let in.
+        """
+        over = self.light_ttft / (PACE * self.token_aim) - 1 if self.token_aim else 0.0
         if over <= 0:
             return False
-        if self._beyond_share(call.request.tenant):
+        if self._exceeds_tenant_share(pending.request.tenant):
             return True
-        return self.random() < min(SHED_GAIN * over / self._standing(call), SHED_MOST)
-
-    def _class_part(self, limit: float) -> float:
-        """Own streams that a class may have whatever the others hold, where several classes ask. The limit is one for
-        all: what some of them teach or take must not keep another one out."""
-        asking = sum(state.asked > CLASS_ASKED for state in self.states)
-        return max(1.0, CLASS_PART * limit / asking) if asking > 1 else 0.0
-
-    def _slots(self, replica: _Replica, call: _Call) -> int:
-        """How many own streams it may have. Streams share a replica's steps and memory: past some number of them each
-        further one makes all slower, and first tokens stop coming. How many that is, is learned from how late these
-        come. Where it is less than one for a gateway, each of them uses a part of the replicas, another one each."""
-        home = self._at_home(replica, call) or call.session_home == replica.place
-        room = self.room * (ROOM_HOME if home else ROOM_AWAY)
-        if room < 1.0 and (home or not self.crowded):
-            room = 1.0  # a part of the replicas costs what the others keep: not before there is need
-        return int(room * self._likely(replica) + replica.luck)
-
-    def _capacity_now(self) -> float:
-        if self.now - self.capacity_at > self.interval // 12:
-            self.capacity_at = self.now
-            self.capacity = max(0.5, sum(self._likely(r) for r in self.near) + sum(self._likely(r) for r in self.far))
+        return self.random() < min(SHED_GAIN * over / self._priority(pending), SHED_MOST)
+
+    def _class_reserved_streams(self, limit: float) -> float:
+        """Own streams that a class may have whatever the others hold, where several classes are active.
+
+        All classes share one limit: what some of them taught it, or use of it, must not keep another one out.
+        """
+        asking = sum(state.recent_requests > CLASS_ACTIVE_REQUESTS for state in self.states)
+        return max(1.0, CLASS_RESERVED_PART * limit / asking) if asking > 1 else 0.0
+
+    def _stream_limit(self, replica: _Replica, pending: _PendingRequest) -> int:
+        """How many own streams the replica may have.
+
+        Streams share a replica's decode steps and memory: above some number each further one slows down all, and
+        first tokens stop coming. That number is learned from how late first tokens come. Where it is less than one
+        for each gateway, each gateway uses a part of the replicas, and each one another part.
+        """
+        preferred = self._is_preferred(replica, pending) or pending.session_index == replica.ring_index
+        limit = self.concurrency_limit * (CONCURRENCY_PREFERRED if preferred else CONCURRENCY_OTHERS)
+        if limit < 1.0 and (preferred or not self.saturated):
+            limit = 1.0  # using a part of the replicas wastes the others' caches, so not before it is needed
+        return int(limit * self._likely_capacity(replica) + replica.limit_rounding)
+
+    def _ready_capacity(self) -> float:
+        """The capacity of the ready replicas, in warm ones; computed at most twelve times an interval."""
+        if self.now - self.capacity_updated_at > self.interval // 12:
+            self.capacity_updated_at = self.now
+            self.capacity = max(
+                0.5,
+                sum(self._likely_capacity(r) for r in self.near) + sum(self._likely_capacity(r) for r in self.far),
+            )
         return self.capacity
 
-    def _likely(self, replica: _Replica) -> float:
-        """The part of its capacity that a replica likely has: between the least it may have and all."""
-        least = self._capacity(replica)
-        return least**LIKELY if least < 1.0 else 1.0
-
-    def _learn_room(self, call: _Call, attempt: _Attempt, took: int) -> None:
-        """A late first token tells of a crowd, unless an idle replica is about as late: a limit learned from an aim
-        that can't be met would fall to its least, and keep out whoever has no home of its own."""
-        if self._likely(attempt.replica) < 1.0:
-            return  # it is cold that is slow there
-        least, most = ROOM_LEAST / self.settings.gateways, ROOM_MOST / self.settings.gateways
-        level = self.out / self._capacity_now()
-        shortest = min(self.zone_least)
-        if attempt.unread > 0:
-            sample = max(0, took - shortest) / attempt.unread
-            step = IDLE_STEP * (IDLE_PART - 1 if sample < self.read_time else IDLE_PART)
-            self.read_time = self.read_time * (1 + step) or sample
-        idle = shortest + self.read_time * call.request.prompt_tokens  # of which nothing is kept
-        if took > max(ROOM_LATE_PART * (call.aim_at - call.born), LATE_IDLE * idle):
-            self.crowded = True
-            self.room = max(least, min(self.room, 1.2 * level) * ROOM_LATE)
-        elif level > ROOM_USED * self.room:
-            self.room = min(most, self.room * (ROOM_GOOD if self.crowded else ROOM_EARLY))
-
-    def _beyond_share(self, tenant: int) -> bool:
-        """Whether this request counts to what its tenant asks beyond its share, by chance in proportion: one
-        tenant's flood must not take what the others are due."""
+    def _likely_capacity(self, replica: _Replica) -> float:
+        """The part of its capacity that a replica likely has: between the least that it may have and 1."""
+        least = self._least_capacity(replica)
+        return least**LIKELY_CAPACITY_EXPONENT if least < 1.0 else 1.0
+
+    def _learn_concurrency_limit(self, pending: _PendingRequest, attempt: _Attempt, took: int) -> None:
+        """Lowers the limit at a late first token, raises it at others; `took` is in microseconds.
+
+        A late first token shows saturation, unless an idle replica is about as late. A limit learned from an aim that
+        can't be met would fall to its minimum, and keep out requests without a preferred replica.
+        """
+        if self._likely_capacity(attempt.replica) < 1.0:
+            return  # it is slow because it is cold
+        lowest, highest = CONCURRENCY_MIN / self.settings.gateways, CONCURRENCY_MAX / self.settings.gateways
+        streams_each = self.in_flight / self._ready_capacity()
+        shortest = min(self.zone_shortest_ttft)
+        if attempt.prefill_tokens > 0:
+            sample = max(0, took - shortest) / attempt.prefill_tokens
+            step = PREFILL_TIME_STEP * (
+                PREFILL_TIME_QUANTILE - 1 if sample < self.prefill_time else PREFILL_TIME_QUANTILE
+            )
+            self.prefill_time = self.prefill_time * (1 + step) or sample
+        idle_ttft = shortest + self.prefill_time * pending.request.prompt_tokens  # with nothing cached
+        if took > max(LATE_AIM_PART * (pending.aim_at - pending.first_asked_at), LATE_IDLE_FACTOR * idle_ttft):
+            self.saturated = True
+            self.concurrency_limit = max(
+                lowest, min(self.concurrency_limit, 1.2 * streams_each) * CONCURRENCY_DECREASE
+            )
+        elif streams_each > CONCURRENCY_USED_PART * self.concurrency_limit:
+            self.concurrency_limit = min(
+                highest,
+                self.concurrency_limit * (CONCURRENCY_INCREASE if self.saturated else CONCURRENCY_INCREASE_START),
+            )
+
+    def _exceeds_tenant_share(self, tenant: int) -> bool:
+        """Whether this request counts as one beyond its tenant's share: drawn at random, in proportion.
+
+        One tenant's flood must not use up the capacity that the others are entitled to.
+        """
         shares = self.settings.tenant_shares
         if tenant >= len(shares) or self.settings.over_share_worth >= 1:
             return False
-        return self.random() * self.asked_share[tenant] > OVER_SHARE * shares[tenant]
+        return self.random() * self.tenant_request_share[tenant] > OVER_SHARE_FACTOR * shares[tenant]
+
+    def _priority(self, pending: _PendingRequest) -> float:
+        """The request's worth in mean worths, within limits: under overload, higher ones are shed less."""
+        return min(PRIORITY_MAX_FACTOR, max(1 / PRIORITY_MAX_FACTOR, pending.klass.worth / (self.mean_worth or 1.0)))
 
-    def _standing(self, call: _Call) -> float:
-        """Under overload, what is worth more than the mean goes first."""
-        return min(STANDING, max(1 / STANDING, call.klass.worth / (self.mean_worth or 1.0)))
+    def _enqueue(self, pending: _PendingRequest, left: int) -> None:
+        """Queues a request, and sets the timer for its next try."""
+        self.queued[pending.request.id] = pending
+        step = max(2 * self.settings.tick, self.shortest_aim // 10)
+        self.actions.append(SetTimer(max(1, min(step, left)), pending.request.id))
 
-    def _hold(self, call: _Call, left: int) -> None:
-        self.held[call.request.id] = call
-        step = max(2 * self.settings.tick, self.shortest // 10)
-        self.actions.append(SetTimer(max(1, min(step, left)), call.request.id))
+    def _enqueue_until_list(self, pending: _PendingRequest, left: int) -> None:
+        """Queues a request until the list is verified, and calls discovery if nothing did yet.
 
-    def _hold_for_list(self, call: _Call, left: int) -> None:
-        """The list held at a start is of unknown age: servers on it may have left while this gateway was down. Few
-        gateways call at once when they start, and have the answer before a request is under way."""
-        if not self.asked:
+        The list cached at a start is of unknown age: servers on it may have left while this gateway was down. A small
+        number of gateways call at once when they start, and have the answer before the first request.
+        """
+        if not self.subscribe_calls:
             self._subscribe()
-        self._hold(call, left)
+        self._enqueue(pending, left)
 
-    def _end(self, call: _Call, why: str) -> None:
-        """The final answer where none was served."""
-        refuse = self._may_refuse(call)
-        self._cancel_out(call)
-        id = call.request.id
+    def _refuse_or_fail(self, pending: _PendingRequest, why: str) -> None:
+        """Gives the final answer where no replica did: a refusal if that is true of the request, else a failure."""
+        refuse = self._may_refuse(pending)
+        self._cancel_in_flight(pending)
+        id = pending.request.id
         self.actions.append(Refuse(id, self.settings.max_retry_after, why) if refuse else Fail(id, why))
-        self._turned_away(call)
-        self._answered(call)
+        self._remember_first_try(pending)
+        self._finish(pending)
 
-    def _turned_away(self, call: _Call) -> None:
-        request = call.request
+    def _remember_first_try(self, pending: _PendingRequest) -> None:
+        """Remembers when an unserved request came first, for the aim of its repeats."""
+        request = pending.request
         if request.session:
-            self.turned_away[request.session, request.prompt_tokens] = call.born
-            if len(self.turned_away) > HELD_KEYS:
-                del self.turned_away[next(iter(self.turned_away))]
-
-    def _answered(self, call: _Call) -> None:
-        call.answered = True
-        self.held.pop(call.request.id, None)
-        if not call.out:
-            del self.calls[call.request.id]
-
-    def _cancel_out(self, call: _Call, keep: int = -1) -> None:
-        if self.settings.may_cancel and call.out:
-            for attempt in call.attempts:
+            self.first_tries[request.session, request.prompt_tokens] = pending.first_asked_at
+            if len(self.first_tries) > REMEMBERED_KEYS_MAX:
+                del self.first_tries[next(iter(self.first_tries))]
+
+    def _finish(self, pending: _PendingRequest) -> None:
+        """Marks a request as answered, and drops it once none of its attempts is in flight."""
+        pending.answered = True
+        self.queued.pop(pending.request.id, None)
+        if not pending.in_flight:
+            del self.pending[pending.request.id]
+
+    def _cancel_in_flight(self, pending: _PendingRequest, keep: int = -1) -> None:
+        """Cancels a request's attempts in flight, but for the one with the number `keep`."""
+        if self.settings.may_cancel and pending.in_flight:
+            for attempt in pending.attempts:
                 if attempt.result < 0 and attempt.number != keep:
-                    self.actions.append(Cancel(call.request.id, attempt.number))
+                    self.actions.append(Cancel(pending.request.id, attempt.number))
 
-    # Rule 2. An attempt may have run unless its outcome proves otherwise; one that is out may run yet.
+    # Rule 2. An attempt may have run unless its outcome proves otherwise; one in flight may still run.
 
-    def _may_have_run(self, call: _Call) -> _Attempt | None:
-        return next((attempt for attempt in call.attempts if attempt.result not in NEVER_RAN), None)
+    def _first_that_may_have_run(self, pending: _PendingRequest) -> _Attempt | None:
+        return next((attempt for attempt in pending.attempts if attempt.result not in NEVER_RAN), None)
 
-    def _may_resend(self, call: _Call) -> bool:
-        if call.klass.effect == Effect.PURE or not call.attempts:
+    def _may_resend(self, pending: _PendingRequest) -> bool:
+        """Whether a further attempt does no harm, if it goes to a replica that `_group_allows`."""
+        if pending.klass.effect == Effect.PURE or not pending.attempts:
             return True
-        first = self._may_have_run(call)
+        first = self._first_that_may_have_run(pending)
         if first is None:
             return True
-        if call.klass.effect == Effect.SIDE_EFFECT:
+        if pending.klass.effect == Effect.SIDE_EFFECT:
             return False
-        # The repeat has to arrive within the window: its connection may take so long to come up.
-        arrives_by = self.now + self.settings.connect_timeout + REPEAT_TRANSIT
-        return arrives_by < first.sent + call.klass.window
+        # The repeat has to arrive within the window, and its connection may take up to the connect timeout.
+        arrives_by = self.now + self.settings.connect_timeout + REPEAT_TRANSIT_US
+        return arrives_by < first.sent_at + pending.klass.window
 
     def may_refuse(self, id: int) -> bool:
-        """Whether a refusal would be true of a request: that to ask again does no harm."""
-        call = self.calls.get(id)
-        return call is None or self._may_refuse(call)
+        """Whether a refusal would be true of a request: it promises that trying again does no harm."""
+        pending = self.pending.get(id)
+        return pending is None or self._may_refuse(pending)
 
-    def _may_refuse(self, call: _Call) -> bool:
-        klass = call.klass
+    def _may_refuse(self, pending: _PendingRequest) -> bool:
+        klass = pending.klass
         if klass.effect == Effect.PURE or (klass.effect == Effect.TOKEN and klass.scope == Scope.ALL):
             return True
-        return self._may_have_run(call) is None
+        return self._first_that_may_have_run(pending) is None
 
-    def _allowed(self, call: _Call, replica: _Replica) -> bool:
-        """Whether a further attempt may go to this replica, by its group."""
-        klass = call.klass
-        if klass.effect != Effect.TOKEN or klass.scope == Scope.ALL or not call.attempts:
+    def _group_allows(self, pending: _PendingRequest, replica: _Replica) -> bool:
+        """Whether a further attempt may go to this replica, by the group in which repeats are dropped."""
+        klass = pending.klass
+        if klass.effect != Effect.TOKEN or klass.scope == Scope.ALL or not pending.attempts:
             return True
-        first = self._may_have_run(call)
+        first = self._first_that_may_have_run(pending)
         if first is None:
             return True
         return replica.zone == first.zone if klass.scope == Scope.ZONE else replica.cell == first.cell
 
-    def _send(self, call: _Call, replica: _Replica, predicted: float, left: int) -> None:
-        now, settings, request = self.now, self.settings, call.request
-        unread = self._unread(replica, call)
-        attempt = _Attempt(replica, len(call.attempts), now, predicted, unread, self._likely(replica))
+    def _send(self, pending: _PendingRequest, replica: _Replica, predicted: float, left: int) -> None:
+        """Sends an attempt, and sets its timeout or the time of a hedge; times are in microseconds."""
+        now, settings, request = self.now, self.settings, pending.request
+        prefill_tokens = self._prefill_tokens(replica, pending)
+        attempt = _Attempt(
+            replica, len(pending.attempts), now, predicted, prefill_tokens, self._likely_capacity(replica)
+        )
         if request.prefix:
-            entry = replica.kept.get(~request.prefix)
+            entry = replica.cached.get(~request.prefix)
             if entry:
-                attempt.age = now - entry[1]
-            self._remember(replica, ~request.prefix, request.prefix_tokens)
+                attempt.cache_entry_age = now - entry[1]
+            self._remember_cached(replica, ~request.prefix, request.prefix_tokens)
         if request.session:
-            self._remember(replica, request.session, request.prompt_tokens)
-        call.attempts.append(attempt)
-        call.out += 1
-        self.out += 1
-        call.state.sent_at = now
-        call.state.out += 1
+            self._remember_cached(replica, request.session, request.prompt_tokens)
+        pending.attempts.append(attempt)
+        pending.in_flight += 1
+        self.in_flight += 1
+        pending.state.last_sent_at = now
+        pending.state.in_flight += 1
         replica.waiting[attempt] = None
-        replica.unread += unread
+        replica.prefill_tokens += prefill_tokens
         replica.streams += 1
-        work = request.prompt_tokens + DECODE_TOKENS
+        work = request.prompt_tokens + DECODE_WORK_TOKENS
         self.work_sent += work
-        if replica.cold_at >= 0:
-            if replica.cold_debt < -replica.cold_ready:
-                self.cold_late -= 1
-            replica.cold_debt += work
-        self.held.pop(request.id, None)
+        if replica.warmup_updated_at >= 0:
+            if replica.warmup_overdraft < -replica.warmup_unexpired:
+                self.expired_allowance -= 1
+            replica.warmup_overdraft += work
+        self.queued.pop(request.id, None)
         timeout = 0
-        if call.klass.effect != Effect.SIDE_EFFECT and self._may_refuse(call):
-            # What can't earn any more is called off in time to be refused before its aim has passed.
+        if pending.klass.effect != Effect.SIDE_EFFECT and self._may_refuse(pending):
+            # An attempt that can't earn any more is cancelled in time for a refusal before the aim has passed.
             timeout = max(1, left - 2 * settings.tick)
-            m0, m1, m2 = self.median
-            other = HEDGE_ROOM * (m0 + m1 * request.prompt_tokens / 1000)
-            patience = timeout - other
+            m0, m1, m2 = self.median_weights
+            next_attempt = HEDGE_RESERVE_PREDICTIONS * (m0 + m1 * request.prompt_tokens / 1000)
+            wait_limit = timeout - next_attempt
             if settings.second_copies:
-                patience = min(max(HEDGE_TIMES * predicted, left / 4), patience)
-            # Else giving up wastes what was done: it is left until another just fits.
-            if patience > 1.2 * predicted and len(call.attempts) < settings.max_attempts:
+                wait_limit = min(max(HEDGE_TIMES * predicted, left / 4), wait_limit)
+            # Without hedges, giving up wastes the work done: the attempt runs until another one just fits.
+            if wait_limit > 1.2 * predicted and len(pending.attempts) < settings.max_attempts:
                 if settings.second_copies and settings.may_cancel:
-                    call.hedge_at = now + int(patience)
-                    self.actions.append(SetTimer(int(patience), request.id))
-                # With many late, all may well take so long: what was read for it is lost with the attempt, and the
-                # next one has it to read again, where others wait as well.
-                elif self.timeouts < PATIENCE_TIMEOUTS:
-                    timeout = int(patience)
-                    # A hang is left while another still fits before the aim, and not only before the deadline.
-                    before_aim = int(call.aim_at - now - other)
-                    if self.learned and before_aim > PATIENCE_TIMES * predicted:
+                    pending.hedge_at = now + int(wait_limit)
+                    self.actions.append(SetTimer(int(wait_limit), request.id))
+                # Where many attempts are late, all replicas may take as long. The prefill done is lost with the
+                # attempt, and the next one has to repeat it in another replica's queue.
+                elif self.timeout_share < PATIENCE_MAX_TIMEOUT_SHARE:
+                    timeout = int(wait_limit)
+                    # A hung attempt is given up while another one still fits before the aim, not just the deadline.
+                    before_aim = int(pending.aim_at - now - next_attempt)
+                    if self.median_learned and before_aim > PATIENCE_TIMES * predicted:
                         timeout = min(timeout, before_aim)
         self.actions.append(Send(request.id, replica.id, timeout))
 
     def _on_timer(self, timer: Timer) -> None:
         if timer.tag == SUBSCRIBE_TAG:
-            if self.now >= self.ask_at and not self.subscribed:
+            if self.now >= self.subscribe_at and not self.subscribed:
                 self._subscribe()
             return
-        call = self.calls.get(timer.tag)
-        if call is None or call.answered or call.streaming:
+        pending = self.pending.get(timer.tag)
+        if pending is None or pending.answered or pending.streaming:
             return
-        if not call.out:
-            self._place(call)
-        elif call.hedge_at and self.now >= call.hedge_at:
-            call.hedge_at = 0
-            self._hedge(call)
-
-    def _hedge(self, call: _Call) -> None:
-        """A second copy, while it can still pay: the first may hang, or wait behind something heavy."""
-        left, state = call.earn_by - self.now, call.state
-        if call.out != 1 or len(call.attempts) >= self.settings.max_attempts:
+        if not pending.in_flight:
+            self._dispatch(pending)
+        elif pending.hedge_at and self.now >= pending.hedge_at:
+            pending.hedge_at = 0
+            self._hedge(pending)
+
+    def _hedge(self, pending: _PendingRequest) -> None:
+        """Sends a second attempt while it can still earn: the first may hang, or queue behind a long prompt."""
+        left, state = pending.useful_until - self.now, pending.state
+        if pending.in_flight != 1 or len(pending.attempts) >= self.settings.max_attempts:
             return
-        if state.hedges < 1 or not self._may_resend(call):
+        if state.hedge_budget < 1 or not self._may_resend(pending):
             return
-        replica, predicted = self._choose(call, left)
-        if replica is None or predicted > left or replica is call.attempts[-1].replica:
+        replica, predicted = self._pick_replica(pending, left)
+        if replica is None or predicted > left or replica is pending.attempts[-1].replica:
             return
-        state.hedges -= 1
-        self._send(call, replica, predicted, left)
-        call.hedge_at = 0
+        state.hedge_budget -= 1
+        self._send(pending, replica, predicted, left)
+        pending.hedge_at = 0
 
     def _on_first_token(self, event: FirstToken) -> None:
-        call = self.calls.get(event.request)
-        if call is None or event.attempt >= len(call.attempts):
+        pending = self.pending.get(event.request)
+        if pending is None or event.attempt >= len(pending.attempts):
             return
-        attempt = call.attempts[event.attempt]
+        attempt = pending.attempts[event.attempt]
         if not attempt.waiting or attempt.result >= 0:
             return
-        self._not_waiting(attempt)
-        call.state.in_time += IN_TIME_STEP * ((self.now <= call.aim_at) - call.state.in_time)
-        self._learn(attempt, event.took)
-        self._learn_room(call, attempt, event.took)
-        # Envoy judges an answer when it begins. Judged seconds later, at its end, a busy replica that still
-        # answers would be ejected by a streak of time-outs among its first tokens.
-        self._judge(attempt.replica, Result.OK)
-        if not call.streaming:
-            call.streaming = True
-            self._cancel_out(call, attempt.number)
+        self._stop_waiting(attempt)
+        pending.state.on_time_share += ON_TIME_STEP * ((self.now <= pending.aim_at) - pending.state.on_time_share)
+        self._learn_fit(attempt, event.took)
+        self._learn_concurrency_limit(pending, attempt, event.took)
+        # Envoy counts an answer when it begins. Counted seconds later, at its end, a busy replica that still answers
+        # would be ejected for consecutive time-outs among its first tokens.
+        self._count_result(attempt.replica, Result.OK)
+        if not pending.streaming:
+            pending.streaming = True
+            self._cancel_in_flight(pending, attempt.number)
 
     def _on_outcome(self, event: Outcome) -> None:
-        call = self.calls.get(event.request)
-        if call is None or event.attempt >= len(call.attempts):
+        pending = self.pending.get(event.request)
+        if pending is None or event.attempt >= len(pending.attempts):
             return
-        attempt = call.attempts[event.attempt]
+        attempt = pending.attempts[event.attempt]
         if attempt.result >= 0:
             return
         attempt.result = event.result
-        state = call.state
-        state.out -= 1
-        call.out -= 1
-        self.out -= 1
+        state = pending.state
+        state.in_flight -= 1
+        pending.in_flight -= 1
+        self.in_flight -= 1
         replica = attempt.replica
         replica.streams -= 1
         waiting = attempt.waiting
         if waiting:
-            self._not_waiting(attempt)
-            state.in_time -= IN_TIME_STEP * state.in_time * (event.result == Result.TIMEOUT)
+            self._stop_waiting(attempt)
+            state.on_time_share -= ON_TIME_STEP * state.on_time_share * (event.result == Result.TIMEOUT)
             if event.result == Result.OK:
-                self._learn(attempt, event.took)
+                self._learn_fit(attempt, event.took)
             elif event.took > attempt.predicted and event.result in (Result.TIMEOUT, Result.CANCELLED):
-                self._learn(attempt, event.took)  # it would have taken at least as long
-                self._learn_room(call, attempt, event.took)
+                self._learn_fit(attempt, event.took)  # it would have taken at least this long
+                self._learn_concurrency_limit(pending, attempt, event.took)
         if event.result == Result.OK:
-            replica.shut = 0
-            self._found(attempt, call, event.kept_tokens)
+            replica.connect_backoff = 0
+            self._learn_cache_hit(attempt, pending, event.kept_tokens)
         elif event.result == Result.FULL:
-            replica.full_until = self.now + self.shortest // 4
+            replica.full_until = self.now + self.shortest_aim // 4
         elif event.result == Result.CONNECT_FAILED:
-            attempt.unreached = event.took >= self.settings.connect_timeout // 2
-            self._shut(replica)
+            attempt.connect_timed_out = event.took >= self.settings.connect_timeout // 2
+            self._back_off_connects(replica)
         if waiting or event.result != Result.OK:
-            self._judge(replica, event.result)
-        if event.done or call.answered:
-            if not call.answered:
-                self._cancel_out(call)
-            self._answered(call)
-        elif not call.out:
-            call.streaming = False
+            self._count_result(replica, event.result)
+        if event.done or pending.answered:
+            if not pending.answered:
+                self._cancel_in_flight(pending)
+            self._finish(pending)
+        elif not pending.in_flight:
+            pending.streaming = False
             if event.result == Result.TIMEOUT:
-                if state.retries < 1.0:
-                    self._end(call, "retries")
+                if state.retry_budget < 1.0:
+                    self._refuse_or_fail(pending, "retries")
                     return
-                state.retries -= 1.0
-            self._place(call)
+                state.retry_budget -= 1.0
+            self._dispatch(pending)
 
     def _on_client_gone(self, event: ClientGone) -> None:
-        call = self.calls.get(event.request)
-        if call is not None and not call.answered:
-            self._cancel_out(call)
-            self._turned_away(call)
-            self._answered(call)
-
-    def _shut(self, replica: _Replica) -> None:
-        """Nobody listens there, or its table is full. Where the list is late that says more than it, and at once;
-        three in a row would cost three requests an attempt, at each gateway."""
-        longest = int(SHUT_LONGEST * self.shortest)
-        replica.shut = min(longest, max(int(SHUT_FIRST * self.shortest), 2 * replica.shut))
-        replica.shut_until = self.now + int(replica.shut * (0.5 + self.random()))
-
-    def _not_waiting(self, attempt: _Attempt) -> None:
+        pending = self.pending.get(event.request)
+        if pending is not None and not pending.answered:
+            self._cancel_in_flight(pending)
+            self._remember_first_try(pending)
+            self._finish(pending)
+
+    def _back_off_connects(self, replica: _Replica) -> None:
+        """Leaves out a replica that refused a connect, for a time that doubles at each consecutive refusal.
+
+        No process listens there, or its connection table is full. Where the list is late, a refused connect tells
+        more than the list, and at once; three consecutive ones would cost three requests an attempt, at each gateway.
+        """
+        longest = int(CONNECT_BACKOFF_MAX_AIMS * self.shortest_aim)
+        replica.connect_backoff = min(
+            longest, max(int(CONNECT_BACKOFF_FIRST_AIMS * self.shortest_aim), 2 * replica.connect_backoff)
+        )
+        replica.connect_backoff_until = self.now + int(replica.connect_backoff * (0.5 + self.random()))
+
+    def _stop_waiting(self, attempt: _Attempt) -> None:
+        """Takes an attempt that got its first token, or ended, off the replica's prefill queue."""
         attempt.waiting = False
         replica = attempt.replica
         replica.waiting.pop(attempt, None)
-        replica.unread = max(0.0, replica.unread - attempt.unread) if replica.waiting else 0.0
+        replica.prefill_tokens = max(0.0, replica.prefill_tokens - attempt.prefill_tokens) if replica.waiting else 0.0
 
     # -- the pick ------------------------------------------------------------------------------------------
 
-    def _choose(self, call: _Call, left: int) -> tuple[_Replica | None, float]:
-        """The lower prediction of two random replicas; holders of the prompt's beginning stand beside."""
-        # An own stream tells of others there, though not of as many as there are gateways: where each has few, one
-        # more or less is chance. Loads that scatter by about their mean make it stand for so many.
+    def _pick_replica(self, pending: _PendingRequest, left: int) -> tuple[_Replica | None, float]:
+        """The replica with the lowest score, or None, and its predicted time to first token.
+
+        The candidates are two random replicas, those that have the prompt's beginning cached, the preferred ones, and
+        cold ones; `left` is the time left in microseconds.
+        """
+        # An own stream suggests that other gateways have streams there too, though not one for each gateway: where
+        # each has few, one more or less is chance. The number it stands for assumes that loads scatter by about their
+        # mean.
         gateways = self.settings.gateways
-        others = gateways * self.out / max(1, len(self.near) + len(self.far))
-        stands_for = gateways * max(1.0, others) / (gateways + max(1.0, others))
-        self.crowding = CROWDING * self.shortest * stands_for / (CROWD_START + others)
-        best, time = self._look(call, self.near, None, float("inf"))
-        best, time = self._look_home(call, True, best, time)
-        best, time = self._look_arc(call, best, time)
+        fleet_streams = gateways * self.in_flight / max(1, len(self.near) + len(self.far))
+        stands_for = gateways * max(1.0, fleet_streams) / (gateways + max(1.0, fleet_streams))
+        self.stream_cost = STREAM_COST_AIMS * self.shortest_aim * stands_for / (STREAM_COST_KNEE + fleet_streams)
+        best, best_score = self._best_of_two(pending, self.near, None, float("inf"))
+        best, best_score = self._best_cache_holder(pending, True, best, best_score)
+        best, best_score = self._best_preferred(pending, best, best_score)
         if self.cold:
-            # Those that may be sent something just now are few: by chance alone they'd hardly be met.
-            n, found = len(self.cold), 0
-            # What has to be read anew anyway is read where the fleet has room that only its budget bounds: by latency
-            # alone the warm ones get all of it until they jam, and what is cold stays cold.
-            anew = best is None or self._unread(best, call) > ANEW * call.request.prompt_tokens
+            # Few cold replicas have budget left at any time: random draws alone would hardly find them.
+            n, accepted = len(self.cold), 0
+            # A prompt that has to be prefilled anyway goes where only the warm-up budget bounds capacity. By latency
+            # alone the warm replicas would get all of them until they are overloaded, and cold ones would stay cold.
+            mostly_prefill = (
+                best is None
+                or self._prefill_tokens(best, pending) > COLD_PREFILL_PART * pending.request.prompt_tokens
+            )
             start = int(self.random() * n)
-            for step in range(min(n, COLD_LOOKS)):
+            for step in range(min(n, COLD_CANDIDATES_MAX)):
                 one = self.cold[(start + step) % n]
-                young = self.now - one.started < self.settings.cold_time  # the list is as old as the last change
-                if young and one.ejected_until <= self.now and self._open(call, one):
-                    weighed = self._weigh(one, call) + self._apart(one)
-                    if weighed < time or (anew and weighed < min(left, call.aim_at - self.now)):
-                        best, time, anew = one, weighed, False
-                    found += 1
-                    if found == 2:
+                still_cold = self.now - one.started < self.settings.cold_time  # self.cold may be outdated
+                if still_cold and one.ejected_until <= self.now and self._accepts(pending, one):
+                    score = self._score(one, pending) + self._crossing_cost(one)
+                    if score < best_score or (mostly_prefill and score < min(left, pending.aim_at - self.now)):
+                        best, best_score, mostly_prefill = one, score, False
+                    accepted += 1
+                    if accepted == 2:
                         break
-        if self.far and time > self.crossing:
-            other, apart = self._look(call, self.far, None, time - self.crossing)
-            other, apart = self._look_home(call, False, other, apart)
-            best = best if other is None else other
+        if self.far and best_score > self.zone_crossing_cost:
+            remote, remote_score = self._best_of_two(pending, self.far, None, best_score - self.zone_crossing_cost)
+            remote, remote_score = self._best_cache_holder(pending, False, remote, remote_score)
+            best = best if remote is None else remote
         if best is None:
-            # Both draws may be barred (tried, full, cold, out of group): look at all before giving up.
+            # Both random replicas may be excluded (tried, full, cold, not in the group): try all before giving up.
             pool = self.near + self.far
-            for again in (0, 1, 2):
+            for relaxed in (0, 1, 2):
                 for replica in pool:
-                    if replica.ready and self._open(call, replica, again):
-                        weighed = self._weigh(replica, call)
-                        if weighed < time:
-                            best, time = replica, weighed
+                    if replica.ready and self._accepts(pending, replica, relaxed):
+                        score = self._score(replica, pending)
+                        if score < best_score:
+                            best, best_score = replica, score
                 if best is not None:
                     break
-        return best, self._predict(best, call) if best is not None else time
+        return best, self._predict_ttft(best, pending) if best is not None else best_score
 
-    def _look(self, call: _Call, pool: list[_Replica], best: _Replica | None, time: float) -> Any:
+    def _best_of_two(
+        self, pending: _PendingRequest, pool: list[_Replica], best: _Replica | None, best_score: float
+    ) -> Any:
+        """The better one of `best` and two random replicas of the pool, with its score."""
         n = len(pool)
         if n > 2:
             one = int(self.random() * n)
             two = int(self.random() * (n - 1))
             pool = [pool[one], pool[two if two < one else two + 1]]
         for replica in pool:
-            if self._open(call, replica):
-                weighed = self._weigh(replica, call)
-                if weighed < time:
-                    best, time = replica, weighed
-        return best, time
-
-    def _look_arc(self, call: _Call, best: _Replica | None, time: float) -> Any:
-        """Two random homes of the prefix and the home of the session stand beside. All gateways agree on them
-        without a word; spread over all replicas, each would have to read every prefix, and homes in each zone would
-        keep it once a zone. A crossing costs less than reading what another zone has."""
-        ring = self._find_homes(call)
+            if self._accepts(pending, replica):
+                score = self._score(replica, pending)
+                if score < best_score:
+                    best, best_score = replica, score
+        return best, best_score
+
+    def _best_preferred(self, pending: _PendingRequest, best: _Replica | None, best_score: float) -> Any:
+        """The best one of `best`, two random preferred replicas of the prefix and the session's own, with its score.
+
+        All gateways agree on the preferred replicas without communication. Spread over all replicas, each would have
+        to prefill every prefix, and preferred ones in each zone would cache it once a zone. Crossing zones costs less
+        than prefilling what another zone has cached.
+        """
+        ring = self._find_preferred(pending)
         if not ring:
-            return best, time
-        places = [call.session_home] if call.request.session else []
-        if call.homes:
-            one = int(self.random() * call.homes)
-            two = int(self.random() * (call.homes - 1))
-            places += [call.homes_from + one, call.homes_from + (two if two < one else two + 1)]
+            return best, best_score
+        places = [pending.session_index] if pending.request.session else []
+        if pending.preferred_count:
+            one = int(self.random() * pending.preferred_count)
+            two = int(self.random() * (pending.preferred_count - 1))
+            places += [pending.preferred_start + one, pending.preferred_start + (two if two < one else two + 1)]
         for place in places:
             replica = ring[place % len(ring)]
-            if replica is best or replica.ejected_until > self.now or not self._open(call, replica):
+            if replica is best or replica.ejected_until > self.now or not self._accepts(pending, replica):
                 continue
-            if call.request.repeated and replica.place == call.session_home:
-                continue  # all gateways send a session's tries there: one that answers nobody would have them all
-            weighed = self._weigh(replica, call) + self._apart(replica)
-            if weighed < time:
-                best, time = replica, weighed
-        return best, time
-
-    def _find_homes(self, call: _Call) -> list[_Replica]:
-        """The homes of a prefix are an arc of the ring, and the session's is one of them."""
+            if pending.request.repeated and replica.ring_index == pending.session_index:
+                continue  # all gateways send it there: a hung replica would get all of its tries
+            score = self._score(replica, pending) + self._crossing_cost(replica)
+            if score < best_score:
+                best, best_score = replica, score
+        return best, best_score
+
+    def _find_preferred(self, pending: _PendingRequest) -> list[_Replica]:
+        """Finds the request's preferred replicas; returns the ring to which their indexes refer.
+
+        Those of a prefix follow each other on the ring, and a session's own one is among them.
+        """
         ring = self.ring
-        if call.homes_ring is ring:
+        if pending.preferred_ring is ring:
             return ring
-        call.homes_ring = ring
-        request, n = call.request, len(ring)
-        call.homes_from, call.homes, call.session_home = 0, 0, -1
+        pending.preferred_ring = ring
+        request, n = pending.request, len(ring)
+        pending.preferred_start, pending.preferred_count, pending.session_index = 0, 0, -1
         if request.prefix:
-            call.homes_from = bisect_left(ring, _mix(request.prefix), key=_mark)
-            # Few requests tell little of a share, and gateways that differ in it differ in a session's home.
-            usual = max(HOME_USUAL, HOME_PART * n)
-            spread = HOME_SPREAD * n * self.asked_prefix.get(request.prefix, 0.0) + HOME_PRIOR * usual
-            least = HOME_LEAST
-            while least < min(n, spread / (HOME_PRIOR + self.asked_prefixes)):
-                least *= 2
-            call.homes = min(n, least)
+            pending.preferred_start = bisect_left(ring, _hash64(request.prefix), key=_ring_hash)
+            # A few requests say little about the prefix's share, and gateways that disagree on the share disagree on
+            # the sessions' replicas. So the default counts like PREFERRED_PRIOR_REQUESTS requests.
+            default = max(PREFERRED_DEFAULT, PREFERRED_DEFAULT_PART * n)
+            weighted = (
+                PREFERRED_SHARE_FACTOR * n * self.prefix_requests.get(request.prefix, 0.0)
+                + PREFERRED_PRIOR_REQUESTS * default
+            )
+            preferred_count = PREFERRED_MIN
+            while preferred_count < min(n, weighted / (PREFERRED_PRIOR_REQUESTS + self.prefix_requests_total)):
+                preferred_count *= 2
+            pending.preferred_count = min(n, preferred_count)
         if request.session and n:
-            # By rendezvous among the homes: a replica that comes or goes moves its own sessions only. Of many homes
-            # some are asked, from a place of the session's own on: the same ones would be home to all sessions.
-            session, most, homes, begin = request.session, -1, call.homes or n, 0
-            if homes >= n:
-                begin = bisect_left(ring, _mix(session), key=_mark) - call.homes_from
-            elif homes > HOME_MOST:
-                begin = homes * (_mix(session) >> 32) >> 32
-            for step in range(min(homes, HOME_MOST)):
-                place = (call.homes_from + (begin + step) % homes) % n
-                mixed = _mix(ring[place].mark ^ session)
-                if mixed > most:
-                    call.session_home, most = place, mixed
+            # Rendezvous hashing among the prefix's replicas: one that joins or leaves moves its own sessions only.
+            # Of many replicas a part is compared, from an index that depends on the session: else the same few would
+            # be preferred by all sessions.
+            session, highest_hash, candidates, start = request.session, -1, pending.preferred_count or n, 0
+            if candidates >= n:
+                start = bisect_left(ring, _hash64(session), key=_ring_hash) - pending.preferred_start
+            elif candidates > SESSION_CANDIDATES_MAX:
+                start = candidates * (_hash64(session) >> 32) >> 32
+            for step in range(min(candidates, SESSION_CANDIDATES_MAX)):
+                place = (pending.preferred_start + (start + step) % candidates) % n
+                hashed = _hash64(ring[place].ring_hash ^ session)
+                if hashed > highest_hash:
+                    pending.session_index, highest_hash = place, hashed
         return ring
 
-    def _apart(self, replica: _Replica) -> float:
-        return self.crossing if replica.zone != self.settings.zone else 0.0
+    def _crossing_cost(self, replica: _Replica) -> float:
+        """Microseconds added to the score of a replica in another zone."""
+        return self.zone_crossing_cost if replica.zone != self.settings.zone else 0.0
+
+    def _best_cache_holder(
+        self, pending: _PendingRequest, near: bool, best: _Replica | None, best_score: float
+    ) -> Any:
+        """The best one of `best` and up to three known holders of the session, and of the prefix, with its score.
 
-    def _look_home(self, call: _Call, near: bool, best: _Replica | None, time: float) -> Any:
+        `near`: holders in this gateway's zone, else those in the others.
+        """
         zone = self.settings.zone
-        for key in (call.request.session, ~call.request.prefix):
+        for key in (pending.request.session, ~pending.request.prefix):
             holders = self.holders.get(key) if key and key != -1 else None
             if not holders:
                 continue
@@ -906,160 +1045,184 @@
                     continue
                 if replica is best or (replica.zone == zone) != near:
                     continue
-                if self._open(call, replica):
-                    weighed = self._weigh(replica, call)
-                    if weighed < time:
-                        best, time = replica, weighed
-        return best, time
-
-    def _weigh(self, replica: _Replica, call: _Call) -> float:
-        """What the pick compares. A crowded replica may start an answer soon and then make its tokens slowly,
-        for all its streams; so streams count by themselves, against this gateway's mean."""
-        return self._predict(replica, call) + self.crowding * replica.streams
-
-    def _open(self, call: _Call, replica: _Replica, again: int = 0) -> bool:
-        """Whether this call may go there now; `again`: also 1: past its room and where
-        connects were refused, 2: where it failed."""
-        if replica.full_until > self.now or (replica.shut_until > self.now and not again):
+                if self._accepts(pending, replica):
+                    score = self._score(replica, pending)
+                    if score < best_score:
+                        best, best_score = replica, score
+        return best, best_score
+
+    def _score(self, replica: _Replica, pending: _PendingRequest) -> float:
+        """What the pick compares, in microseconds: the predicted time to first token and a cost for each stream.
+
+        An overloaded replica may start an answer soon and then generate tokens slowly, for all its streams. So
+        streams count by themselves, against this gateway's mean.
+        """
+        return self._predict_ttft(replica, pending) + self.stream_cost * replica.streams
+
+    def _accepts(self, pending: _PendingRequest, replica: _Replica, relaxed: int = 0) -> bool:
+        """Whether the request may go to the replica now.
+
+        `relaxed` 1 ignores the stream limit and the backoff after refused connects, 2 also the request's own failed
+        attempts there.
+        """
+        if replica.full_until > self.now or (replica.connect_backoff_until > self.now and not relaxed):
             return False
-        if call.attempts:
-            for attempt in call.attempts:
-                if again > 1:
+        if pending.attempts:
+            for attempt in pending.attempts:
+                if relaxed > 1:
                     break
-                # A zone that could not be reached is left: a cut one would use up all attempts.
-                cut = attempt.unreached and attempt.zone == replica.zone
-                if attempt.replica is replica or (cut and replica.zone != self.settings.zone):
+                # A zone that could not be reached is avoided: one that is cut off would use up all attempts.
+                zone_unreachable = attempt.connect_timed_out and attempt.zone == replica.zone
+                if attempt.replica is replica or (zone_unreachable and replica.zone != self.settings.zone):
                     return False
-            if not self._allowed(call, replica):
+            if not self._group_allows(pending, replica):
                 return False
         if replica.started and self.now - replica.started < self.settings.cold_time:
-            if not self._cold_room(replica, call.request):
+            if not self._within_warmup_budget(replica, pending.request):
                 return False
         else:
-            replica.cold_at = -1
-        return again > 0 or replica.streams < self._slots(replica, call)
+            replica.warmup_updated_at = -1
+        return relaxed > 0 or replica.streams < self._stream_limit(replica, pending)
 
-    def _capacity(self, replica: _Replica) -> float:
-        """The least part of its capacity that a starting replica can have by now."""
+    def _least_capacity(self, replica: _Replica) -> float:
+        """The least part of its capacity that a replica can have by now, given when it started."""
         settings = self.settings
         age = max(0, self.now - replica.started)
         if not replica.started or age >= settings.cold_time:
             return 1.0
         return settings.cold_share + (1 - settings.cold_share) * age / settings.cold_time
 
-    def _cold_room(self, replica: _Replica, request: Request) -> bool:
-        """Rule 4: this gateway's part of what a cold replica may be sent. Each sends one request, then waits
-        until the budget has paid for it; they begin at random points, so that not all start at once. Where that
-        takes long, what is not used soon lapses: else each of many gateways holds one request ready, and when those
-        that were warm fail all send it in the same moment."""
+    def _within_warmup_budget(self, replica: _Replica, request: Request) -> bool:
+        """Rule 4: whether this gateway's part of a cold replica's warm-up budget allows a request now.
+
+        Each gateway sends one request, then waits until the budget has paid for it. They begin at random points, so
+        that not all send at once. Where that takes long, budget that isn't used soon expires: otherwise each of many
+        gateways could save up one request, and all would send it at the same moment when the warm replicas fail.
+        """
         settings = self.settings
-        work = request.prompt_tokens + DECODE_TOKENS
-        # What tenants are due is told in requests, and so is what replicas can do: in such of the usual work, whether
-        # their prompts are kept or not. Reckoned by what has to be read, cold ones stood idle beside a jam.
+        work = request.prompt_tokens + DECODE_WORK_TOKENS
+        # The tenants' quota is given in requests, and so is what replicas can serve: requests of the mean work,
+        # whether their prompts are cached or not. By the tokens to prefill, cold replicas stayed idle beside
+        # overloaded ones.
         usual = self.usual_work or work
-        if replica.cold_at < 0:
-            replica.cold_debt = self.random() * usual
-            replica.cold_at = self.now
-        quota = settings.quota_rate * usual / (max(1, self.most_ready) * settings.gateways)
-        borne = min(self.work_borne, QUOTA_MOST * quota or self.work_borne)
-        rate = max(borne, quota, work * 1e6 / (settings.cold_time * settings.gateways))
-        pace = settings.tip_multiple * rate * self._capacity(replica) / 1e6
-        paid = pace * settings.tip_time
-        replica.cold_ready = ready = COLD_READY * paid
-        lapses = ready < usual
-        debt = replica.cold_debt - (self.now - replica.cold_at) * pace * (COLD_FLOW if lapses else COLD_SAFETY)
-        replica.cold_at = self.now
-        if debt < 0:  # where it lapses, this is the time since the latest part was paid for
-            debt = -(-debt % usual) if lapses else 0.0
-        replica.cold_debt = debt
-        if debt < -ready:
-            self._renew_late(paid * settings.gateways / usual)
-            return self.cold_late > 0
-        return debt <= 0
-
-    def _renew_late(self, budget: float) -> None:
-        """How much of what has lapsed may be used all the same in this time, at all cold replicas together: what is
-        left of each one's budget, in requests, and of what is put down to chance; half, as two times may meet."""
-        time = (self.now + self.salt % (1 << 40)) // self.settings.tip_time
-        if time != self.cold_late_time:
-            self.cold_late_time = time
-            left = (1 - COLD_FLOW * (1 + COLD_READY)) * budget + COLD_CHANCE * budget**0.5
-            self.cold_late = int(left / 2 * len(self.cold) / self.settings.gateways + self.random())
-
-    def _unread(self, replica: _Replica, call: _Call) -> float:
-        """Prompt tokens it will have to read, as far as this gateway knows what it keeps."""
-        request = call.request
-        self._find_homes(call)
-        kept = 0.0
-        since = self.now - replica.hold
+        if replica.warmup_updated_at < 0:
+            replica.warmup_overdraft = self.random() * usual
+            replica.warmup_updated_at = self.now
+        quota = settings.quota_rate * usual / (max(1, self.max_ready) * settings.gateways)
+        peak = min(self.peak_work_rate, PEAK_WORK_MAX_QUOTAS * quota or self.peak_work_rate)
+        rate = max(peak, quota, work * 1e6 / (settings.cold_time * settings.gateways))
+        budget_rate = settings.tip_multiple * rate * self._least_capacity(replica) / 1e6
+        budget = budget_rate * settings.tip_time
+        replica.warmup_unexpired = unexpired = WARMUP_EXPIRY_PART * budget
+        expires = unexpired < usual
+        overdraft = replica.warmup_overdraft - (self.now - replica.warmup_updated_at) * budget_rate * (
+            COLD_SAFETY_WHOLE_REQUESTS if expires else COLD_SAFETY
+        )
+        replica.warmup_updated_at = self.now
+        if overdraft < 0:  # where budget expires, only what accrued since the last whole request
+            overdraft = -(-overdraft % usual) if expires else 0.0
+        replica.warmup_overdraft = overdraft
+        if overdraft < -unexpired:
+            self._renew_expired_allowance(budget * settings.gateways / usual)
+            return self.expired_allowance > 0
+        return overdraft <= 0
+
+    def _renew_expired_allowance(self, budget: float) -> None:
+        """Sets how much expired budget may still be used in this period, at all cold replicas together.
+
+        That is what is left of each one's budget, in requests, and of what counts as chance. Half of it, as two
+        periods may fall into one tip_time.
+        """
+        period = (self.now + self.salt % (1 << 40)) // self.settings.tip_time
+        if period != self.expired_allowance_period:
+            self.expired_allowance_period = period
+            left = (
+                1 - COLD_SAFETY_WHOLE_REQUESTS * (1 + WARMUP_EXPIRY_PART)
+            ) * budget + WARMUP_CHANCE_DEVIATIONS * budget**0.5
+            self.expired_allowance = int(left / 2 * len(self.cold) / self.settings.gateways + self.random())
+
+    def _prefill_tokens(self, replica: _Replica, pending: _PendingRequest) -> float:
+        """Prompt tokens that the replica will have to prefill, as far as this gateway knows what it has cached."""
+        request = pending.request
+        self._find_preferred(pending)
+        cached = 0.0
+        valid_since = self.now - replica.cache_time
         if request.session:
-            entry = replica.kept.get(request.session)
-            if entry and entry[1] > since:
-                kept = entry[0]
-            elif call.session_home == replica.place:
-                kept = self.session_kept * request.prompt_tokens
-        if request.prefix and kept < request.prefix_tokens:
-            entry = replica.kept.get(~request.prefix)
-            if entry and entry[1] > since:
-                kept = request.prefix_tokens
+            entry = replica.cached.get(request.session)
+            if entry and entry[1] > valid_since:
+                cached = entry[0]
+            elif pending.session_index == replica.ring_index:
+                cached = self.session_hit_share * request.prompt_tokens
+        if request.prefix and cached < request.prefix_tokens:
+            entry = replica.cached.get(~request.prefix)
+            if entry and entry[1] > valid_since:
+                cached = request.prefix_tokens
             else:
-                share = self.home_kept if self._at_home(replica, call) else replica.strays
-                believed = share * request.prefix_tokens
-                kept = believed if believed > kept else kept
-        unread = request.prompt_tokens - kept
-        return unread if unread > 0 else 0.0
-
-    def _at_home(self, replica: _Replica, call: _Call) -> bool:
-        n = len(self._find_homes(call))
-        return n > 0 and (replica.place - call.homes_from) % n < call.homes
-
-    def _predict(self, replica: _Replica, call: _Call) -> float:
-        """Time to first token, by this replica's fit."""
-        load = (replica.unread + self._unread(replica, call)) / 1000
-        age = self.now - replica.fitted if replica.fitted >= 0 else 2 * self.fade
-        if age < self.fade:
+                share = (
+                    self.preferred_hit_share if self._is_preferred(replica, pending) else replica.unexpected_hit_share
+                )
+                expected = share * request.prefix_tokens
+                cached = expected if expected > cached else cached
+        prefill_tokens = request.prompt_tokens - cached
+        return prefill_tokens if prefill_tokens > 0 else 0.0
+
+    def _is_preferred(self, replica: _Replica, pending: _PendingRequest) -> bool:
+        """Whether the replica is a preferred one of the request's prefix."""
+        n = len(self._find_preferred(pending))
+        return n > 0 and (replica.ring_index - pending.preferred_start) % n < pending.preferred_count
+
+    def _predict_ttft(self, replica: _Replica, pending: _PendingRequest) -> float:
+        """The time to first token in microseconds, by the replica's fit, its hangs and its failures."""
+        load = (replica.prefill_tokens + self._prefill_tokens(replica, pending)) / 1000
+        age = self.now - replica.fitted_at if replica.fitted_at >= 0 else 2 * self.fit_lifetime
+        if age < self.fit_lifetime:
             predicted = replica.w0 + replica.w1 * load + replica.w2 * replica.streams
         else:
-            m0, m1, m2 = self.medians.get(replica.kind, self.median)
+            m0, m1, m2 = self.kind_medians.get(replica.kind, self.median_weights)
             predicted = m0 + m1 * load + m2 * replica.streams
-            if age < 2 * self.fade:
+            if age < 2 * self.fit_lifetime:
                 own = replica.w0 + replica.w1 * load + replica.w2 * replica.streams
-                predicted += (own - predicted) * (2 - age / self.fade)
+                predicted += (own - predicted) * (2 - age / self.fit_lifetime)
         if replica.waiting:
             first = next(iter(replica.waiting))
-            overdue = self.now - first.sent - first.predicted
-            if overdue > 0:  # a hang shows here before any time-out
+            overdue = self.now - first.sent_at - first.predicted
+            if overdue > 0:  # a hang is visible here before any time-out
                 predicted += overdue
         if replica.started:
-            predicted /= self._likely(replica)
-        # Errors that come back fast never draw traffic: what fails has to be sent again.
-        zone = self.zone_failing[replica.zone]
-        return predicted / (1.0 - max(replica.failing, zone if zone > ZONE_BAR else 0.0))
-
-    def _learn(self, attempt: _Attempt, took: int) -> None:
-        """One sample for the replica's fit: a recursive least squares step whose weights may drift."""
-        if attempt.likely >= 1.0:
-            self._learn_pace(attempt, took)  # a cold replica's tokens come slowly without any crowd
-        took = int(took * attempt.likely)  # as it would take there warm: that is what is predicted from
+            predicted /= self._likely_capacity(replica)
+        # Errors that come back fast must not attract traffic: a failed request has to be sent again.
+        zone_share = self.zone_failure_share[replica.zone]
+        return predicted / (
+            1.0 - max(replica.failure_share, zone_share if zone_share > ZONE_FAILURE_THRESHOLD else 0.0)
+        )
+
+    def _learn_fit(self, attempt: _Attempt, took: int) -> None:
+        """Adds a sample to the replica's fit: one step of recursive least squares, with weights that may drift.
+
+        `took` is the time to first token in microseconds, or the time waited for it in vain.
+        """
+        if attempt.likely_capacity >= 1.0:
+            self._learn_light_ttft(attempt, took)  # a cold replica's tokens are slow without any overload
+        took = int(took * attempt.likely_capacity)  # on the replica once it is warm: predictions start from that
         r = attempt.replica
         x1, x2 = attempt.load, float(attempt.streams)
-        if r.fitted < 0 or self.now - r.fitted > 2 * self.fade:
-            # Begun anew after so long: with its old weights a replica once slow would stay shunned for good.
-            r.w0, r.w1, r.w2 = median = self.medians.get(r.kind, self.median)
+        if r.fitted_at < 0 or self.now - r.fitted_at > 2 * self.fit_lifetime:
+            # An old fit starts anew: with its old weights, a replica that was slow once would be avoided forever.
+            r.w0, r.w1, r.w2 = median = self.kind_medians.get(r.kind, self.median_weights)
             r.p00, r.p11, r.p22 = ((FIT_PRIOR * w) ** 2 for w in median)
             r.p01 = r.p02 = r.p12 = 0.0
         else:
             r.p00 += (FIT_DRIFT * r.w0) ** 2
             r.p11 += (FIT_DRIFT * r.w1) ** 2
             r.p22 += (FIT_DRIFT * r.w2) ** 2
-        r.fitted = self.now
+        r.fitted_at = self.now
         predicted = r.w0 + r.w1 * x1 + r.w2 * x2
         g0 = r.p00 + r.p01 * x1 + r.p02 * x2
         g1 = r.p01 + r.p11 * x1 + r.p12 * x2
         g2 = r.p02 + r.p12 * x1 + r.p22 * x2
         scale = 1.0 / (g0 + g1 * x1 + g2 * x2 + (FIT_NOISE * predicted) ** 2 + self.settings.tick**2)
         error = (took - predicted) * scale
-        least0, least1, least2 = (w / 20 for w in self.median)
+        least0, least1, least2 = (w / 20 for w in self.median_weights)
         r.w0 = max(least0, r.w0 + g0 * error)
         r.w1 = max(least1, r.w1 + g1 * error)
         r.w2 = max(least2, r.w2 + g2 * error)
@@ -1070,91 +1233,102 @@
         r.p12 -= g1 * g2 * scale
         r.p22 = max(r.p22 - g2 * g2 * scale, 1.0)
 
-    def _learn_pace(self, attempt: _Attempt, took: int) -> None:
-        """A first token with little to read before it takes about two steps: that tells the token pace, long
-        before streams end. The way to another zone, by the zones' shortest first tokens, is no pace."""
-        least, zone = self.zone_least, attempt.zone
-        least[zone] = min(least[zone], took)
-        reading = self.median[1] * attempt.unread / 1000
-        if reading < QUICK_READING * self.median[0]:
-            steps = took - reading - max(0, least[zone] - least[self.settings.zone])
-            # A gateway with few samples must still learn of a jam within seconds.
-            gap = min(QUICK_GAP, max(1.0, 20 * (self.now - self.quick_at) / self.interval))
-            self.quick_at = self.now
-            step = QUICK_STEP * gap
-            quick = self.quick * (1 + step if steps > self.quick else 1 - step)
-            self.quick = min(quick, self.quick_most)
-
-    def _remember(self, replica: _Replica, key: int, tokens: float) -> None:
-        kept = replica.kept
-        kept.pop(key, None)
-        kept[key] = (tokens, self.now)
-        if len(kept) > KEPT_ENTRIES:
-            del kept[next(iter(kept))]
+    def _learn_light_ttft(self, attempt: _Attempt, took: int) -> None:
+        """Updates the running median of the time to first token of requests with little to prefill.
+
+        Such a first token takes about two decode steps, which shows the token rate long before streams end. The
+        network time to another zone, by the zones' shortest times to first token, is left out of it.
+        """
+        shortest, zone = self.zone_shortest_ttft, attempt.zone
+        shortest[zone] = min(shortest[zone], took)
+        prefill = self.median_weights[1] * attempt.prefill_tokens / 1000
+        if prefill < LIGHT_PREFILL_INTERCEPTS * self.median_weights[0]:
+            decode_steps = took - prefill - max(0, shortest[zone] - shortest[self.settings.zone])
+            # A gateway with few samples must still learn of an overload within seconds.
+            factor = min(LIGHT_TTFT_STEP_MAX_FACTOR, max(1.0, 20 * (self.now - self.light_ttft_at) / self.interval))
+            self.light_ttft_at = self.now
+            step = LIGHT_TTFT_STEP * factor
+            updated = self.light_ttft * (1 + step if decode_steps > self.light_ttft else 1 - step)
+            self.light_ttft = min(updated, self.light_ttft_max)
+
+    def _remember_cached(self, replica: _Replica, key: int, tokens: float) -> None:
+        """Records that the replica has these tokens of a session or ~prefix cached from now on."""
+        cached = replica.cached
+        cached.pop(key, None)
+        cached[key] = (tokens, self.now)
+        if len(cached) > CACHE_ENTRIES_PER_REPLICA:
+            del cached[next(iter(cached))]
         holders = self.holders.pop(key, None) or []
         if replica.id not in holders:
             holders.append(replica.id)
-            if len(holders) > HOLDERS:
+            if len(holders) > HOLDERS_PER_KEY:
                 del holders[0]
         self.holders[key] = holders
-        if len(self.holders) > HELD_KEYS:
+        if len(self.holders) > REMEMBERED_KEYS_MAX:
             del self.holders[next(iter(self.holders))]
 
-    def _found(self, attempt: _Attempt, call: _Call, kept_tokens: int) -> None:
-        """An answer tells how much the replica had kept: how long it holds what it read, and strays."""
-        request = call.request
+    def _learn_cache_hit(self, attempt: _Attempt, pending: _PendingRequest, kept_tokens: int) -> None:
+        """Learns from how many prompt tokens an answer found cached.
+
+        It updates how long the replica keeps what it has prefilled, and what is cached where it wasn't believed to
+        be.
+        """
+        request = pending.request
         if not request.prefix or request.prefix_tokens <= 0:
             return
         replica = attempt.replica
         share = min(1.0, kept_tokens / request.prefix_tokens)
-        at_home = self._at_home(replica, call)
-        if request.session and call.session_home == replica.place:
+        preferred = self._is_preferred(replica, pending)
+        if request.session and pending.session_index == replica.ring_index:
             share_of_all = kept_tokens / max(1.0, request.prompt_tokens)
-            self.session_kept += 0.05 * (share_of_all - self.session_kept)
-        if attempt.age < 0:
-            if at_home:
-                self.home_kept += 0.05 * (share - self.home_kept)
+            self.session_hit_share += 0.05 * (share_of_all - self.session_hit_share)
+        if attempt.cache_entry_age < 0:
+            if preferred:
+                self.preferred_hit_share += 0.05 * (share - self.preferred_hit_share)
             else:
-                replica.strays += 0.1 * (share - replica.strays)
+                replica.unexpected_hit_share += 0.1 * (share - replica.unexpected_hit_share)
         elif share < 0.5:
-            replica.hold = max(attempt.age, replica.hold // 2, self.interval)
-        elif attempt.age * 2 > replica.hold:
-            replica.hold = attempt.age * 2
+            replica.cache_time = max(attempt.cache_entry_age, replica.cache_time // 2, self.interval)
+        elif attempt.cache_entry_age * 2 > replica.cache_time:
+            replica.cache_time = attempt.cache_entry_age * 2
 
     # -- outlier detection ---------------------------------------------------------------------------------
 
-    def _judge(self, replica: _Replica, result: int) -> None:
-        """Envoy's counts in unsplit mode. Attempts called off, refused unseen or never sent don't count."""
+    def _count_result(self, replica: _Replica, result: int) -> None:
+        """Envoy's counts in unsplit mode. Attempts that were cancelled, turned away or never sent don't count."""
         if result == Result.OK:
             replica.consecutive_5xx = 0
             replica.consecutive_gateway_failure = 0
             replica.successes += 1
             replica.volume += 1
-            replica.failing -= FAILING_STEP * replica.failing
-            self.zone_failing[replica.zone] *= 1 - ZONE_STEP
-            self.timeouts -= self.timeouts / 16
+            replica.failure_share -= FAILURE_SHARE_STEP * replica.failure_share
+            self.zone_failure_share[replica.zone] *= 1 - ZONE_FAILURE_STEP
+            self.timeout_share -= self.timeout_share / 16
             return
         if result in (Result.FULL, Result.CANCELLED, Result.MOOT):
             return
         replica.volume += 1
-        replica.failing += FAILING_STEP * (0.95 - replica.failing)
+        replica.failure_share += FAILURE_SHARE_STEP * (0.95 - replica.failure_share)
         replica.consecutive_5xx += 1
         if result == Result.ERROR:
             replica.consecutive_gateway_failure = 0
         else:
             replica.consecutive_gateway_failure += 1
-            # A zone that is cut off or hangs fails at replicas met too seldom here to learn it of each.
-            self.zone_failing[replica.zone] += ZONE_STEP * (0.95 - self.zone_failing[replica.zone])
+            # Where a zone is cut off or hangs, this gateway uses each replica too rarely to learn it one by one.
+            self.zone_failure_share[replica.zone] += ZONE_FAILURE_STEP * (
+                0.95 - self.zone_failure_share[replica.zone]
+            )
             if result == Result.TIMEOUT:
-                self.timeouts += (1 - self.timeouts) / 16
-                if self.timeouts > SHARED_TIMEOUTS:
-                    return  # everybody is late, so lateness singles nobody out
+                self.timeout_share += (1 - self.timeout_share) / 16
+                if self.timeout_share > SHARED_TIMEOUT_SHARE:
+                    return  # all replicas are late, so time-outs single out none
         if replica.consecutive_gateway_failure >= CONSECUTIVE_GATEWAY_FAILURE:
             self._eject(replica, "consecutive_gateway_failure")
         elif replica.consecutive_5xx >= CONSECUTIVE_5XX:
             self._eject(replica, "consecutive_5xx")
 
     def _eject(self, replica: _Replica, why: str) -> None:
+        """Ejects a ready replica for a time that grows with each ejection, unless too many are ejected already."""
         if replica.ejected_until > self.now or not replica.ready:
             return
         if (self.ejected + 1) * 100 > MAX_EJECTION_PERCENT * self.ready:
@@ -1164,84 +1338,85 @@
         replica.ejected_until = self.now + time
         replica.consecutive_5xx = replica.consecutive_gateway_failure = 0
         self.actions.append(Log(f"eject replica {replica.id} for {time // 1000} ms: {why}"))
-        self._rebuild()
+        self._rebuild_pools()
 
-    def _sweep(self) -> None:
-        """Once an interval, on the first event past it: success rates, multipliers, the median prediction."""
+    def _end_interval(self) -> None:
+        """Updates success rates, multipliers, medians and rates, on the first event after each interval."""
         now = self.now
-        passed = 1 + (now - self.next_sweep) // self.interval
-        self.next_sweep += passed * self.interval
-        judged = []
+        passed = 1 + (now - self.interval_ends_at) // self.interval
+        self.interval_ends_at += passed * self.interval
+        rated = []
         fits = []
         for replica in self.replicas.values():
             if replica.ejected_until <= now and replica.multiplier:
                 replica.multiplier = max(0, replica.multiplier - passed)
-            replica.failing *= 0.7
-            replica.thin += passed
+            replica.failure_share *= 0.7
+            replica.volume_intervals += passed
             if replica.volume >= SUCCESS_RATE_REQUEST_VOLUME:
                 failures = replica.volume - replica.successes
-                judged.append((replica, replica.successes / replica.volume, failures))
-            if replica.fitted >= 0 and now - replica.fitted < 4 * self.fade:
+                rated.append((replica, replica.successes / replica.volume, failures))
+            if replica.fitted_at >= 0 and now - replica.fitted_at < 4 * self.fit_lifetime:
                 fits.append(replica)
-        if len(judged) >= SUCCESS_RATE_MINIMUM_HOSTS:
-            mean = sum(rate for _, rate, _ in judged) / len(judged)
-            stdev = (sum((rate - mean) ** 2 for _, rate, _ in judged) / len(judged)) ** 0.5
-            bar = mean - SUCCESS_RATE_STDEV_FACTOR / 1000 * stdev
-            volume = sum(replica.volume for replica, _, _ in judged)
-            failed = sum(failures for _, _, failures in judged)
-            for replica, rate, failures in judged:
-                # Where all replicas fail alike, in thin volumes somebody is always under the bar.
+        if len(rated) >= SUCCESS_RATE_MINIMUM_HOSTS:
+            mean = sum(rate for _, rate, _ in rated) / len(rated)
+            stdev = (sum((rate - mean) ** 2 for _, rate, _ in rated) / len(rated)) ** 0.5
+            threshold = mean - SUCCESS_RATE_STDEV_FACTOR / 1000 * stdev
+            volume = sum(replica.volume for replica, _, _ in rated)
+            failed = sum(failures for _, _, failures in rated)
+            for replica, rate, failures in rated:
+                # Where all replicas fail alike, at low volumes some replica is always below the threshold.
                 n = replica.volume
                 share = (failed - failures) / max(1, volume - n)
-                by_chance = share * n + SUCCESS_RATE_CHANCE * (share * (1 - share) * n) ** 0.5
-                enough = max(SUCCESS_RATE_MINIMUM_FAILURES, by_chance)
-                if rate < bar and failures >= enough:
+                by_chance = share * n + SUCCESS_RATE_CHANCE_DEVIATIONS * (share * (1 - share) * n) ** 0.5
+                failures_needed = max(SUCCESS_RATE_MINIMUM_FAILURES, by_chance)
+                if rate < threshold and failures >= failures_needed:
                     self._eject(replica, "success_rate")
         for replica in self.replicas.values():
-            if replica.volume >= SUCCESS_RATE_REQUEST_VOLUME or replica.thin >= VOLUME_INTERVALS:
-                replica.successes = replica.volume = replica.thin = 0
+            if replica.volume >= SUCCESS_RATE_REQUEST_VOLUME or replica.volume_intervals >= VOLUME_INTERVALS:
+                replica.successes = replica.volume = replica.volume_intervals = 0
         if fits:
-            self.median = _median(fits)
-            self.learned = self.learned or len(fits) >= KIND_MINIMUM_HOSTS
-            # In a large fleet most replicas have no recent sample here; those of a kind are alike.
+            self.median_weights = _median_weights(fits)
+            self.median_learned = self.median_learned or len(fits) >= KIND_MINIMUM_HOSTS
+            # In a large fleet most replicas have no recent sample here, but those of one kind behave alike.
             kinds: dict[int, list[_Replica]] = {}
             for replica in fits:
                 kinds.setdefault(replica.kind, []).append(replica)
-            for kind, alike in kinds.items():
-                if len(alike) >= KIND_MINIMUM_HOSTS:
-                    self.medians[kind] = _median(alike)
-        fade = HOME_FADE**passed
-        self.asked_prefixes *= fade
-        self.zone_failing = [ZONE_FADE**passed * share for share in self.zone_failing]
-        for prefix in list(self.asked_prefix):
-            self.asked_prefix[prefix] *= fade
-            if self.asked_prefix[prefix] < 0.05:
-                self.asked_prefixes -= self.asked_prefix.pop(prefix)
+            for kind, same_kind in kinds.items():
+                if len(same_kind) >= KIND_MINIMUM_HOSTS:
+                    self.kind_medians[kind] = _median_weights(same_kind)
+        decay = PREFIX_REQUESTS_DECAY**passed
+        self.prefix_requests_total *= decay
+        self.zone_failure_share = [ZONE_FAILURE_DECAY**passed * share for share in self.zone_failure_share]
+        for prefix in list(self.prefix_requests):
+            self.prefix_requests[prefix] *= decay
+            if self.prefix_requests[prefix] < 0.05:
+                self.prefix_requests_total -= self.prefix_requests.pop(prefix)
         for state in self.states:
-            state.asked *= CLASS_FADE**passed
-        rate = self.work_sent * 1e6 / (passed * self.interval * self._capacity_now())
+            state.recent_requests *= CLASS_REQUESTS_DECAY**passed
+        rate = self.work_sent * 1e6 / (passed * self.interval * self._ready_capacity())
         self.work_rate = rate if not self.work_rate else self.work_rate + 0.3 * (rate - self.work_rate)
-        # What warm replicas bore once they can bear: while load is shed, cold ones are needed most.
-        self.work_borne = max(self.work_rate, self.work_borne * WORK_FADE**passed)
+        # Warm replicas can serve what they served once. While load is shed, the rate is low and cold ones are needed
+        # most.
+        self.peak_work_rate = max(self.work_rate, self.peak_work_rate * PEAK_WORK_DECAY**passed)
         self.work_sent = 0.0
 
-    def _rebuild(self) -> None:
-        """The pools of the pick; the time at which the next ejection ends."""
+    def _rebuild_pools(self) -> None:
+        """Rebuilds the pools of the pick, finds when the next ejection ends, and tries queued requests again."""
         now = self.now
         ready = [replica for replica in self.replicas.values() if replica.ready]
-        well = [replica for replica in ready if replica.ejected_until <= now]
+        not_ejected = [replica for replica in ready if replica.ejected_until <= now]
         self.ready = len(ready)
-        self.most_ready = max(self.most_ready, self.ready)
-        self.ejected = len(ready) - len(well)
-        self.next_return = min((r.ejected_until for r in ready if r.ejected_until > now), default=1 << 62)
-        pool = well or ready  # panic: with everybody ejected, ejection tells nothing
+        self.max_ready = max(self.max_ready, self.ready)
+        self.ejected = len(ready) - len(not_ejected)
+        self.next_ejection_end = min((r.ejected_until for r in ready if r.ejected_until > now), default=1 << 62)
+        pool = not_ejected or ready  # panic mode: with all replicas ejected, ejections say nothing
         self.near = [replica for replica in pool if replica.zone == self.settings.zone]
         warm_from = now - self.settings.cold_time
         self.cold = [replica for replica in pool if replica.started and replica.started > warm_from]
-        self.capacity_at = -self.interval
+        self.capacity_updated_at = -self.interval
         self.far = [replica for replica in pool if replica.zone != self.settings.zone]
-        for call in list(self.held.values()):
-            self._place(call)
+        for pending in list(self.queued.values()):
+            self._dispatch(pending)
 
     # -- membership ----------------------------------------------------------------------------------------
 
@@ -1249,12 +1424,16 @@
         if event.kind == ListKind.FAILED:
             if self.settings.subscribe:
                 if self.subscribed:
-                    self.asked = 0
+                    self.subscribe_calls = 0
                 self.subscribed = False
-                if self.asked == 1 and self.now - self.asked_at < ASK_FAILED_FAST and not self.settings.pushed:
-                    self._ask_in(ASK_REPEAT)
+                if (
+                    self.subscribe_calls == 1
+                    and self.now - self.subscribe_called_at < SUBSCRIBE_FAST_FAILURE_US
+                    and not self.settings.pushed
+                ):
+                    self._subscribe_in(SUBSCRIBE_FAST_RETRY_US)
                 else:
-                    self._ask_later()
+                    self._schedule_subscribe()
                     self._verify_list()
             return
         if event.kind != ListKind.CACHED:
@@ -1272,51 +1451,58 @@
                 continue
             if replica is None:
                 replica = self.replicas[entry.id] = _Replica(entry)
-                replica.luck = (_mix(entry.id ^ self.salt) >> 32) / (1 << 32)
+                replica.limit_rounding = (_hash64(entry.id ^ self.salt) >> 32) / (1 << 32)
             elif entry.started != replica.started:
                 replica.renew(entry)
             replica.zone = entry.zone if entry.zone < self.settings.zones else self.settings.zone
             replica.cell = entry.cell
             replica.ready = entry.state == State.READY
-        self.ring = sorted((replica for replica in self.replicas.values() if replica.ready), key=_mark)
+        self.ring = sorted((replica for replica in self.replicas.values() if replica.ready), key=_ring_hash)
         for place, replica in enumerate(self.ring):
-            replica.place = place
-        self._rebuild()
+            replica.ring_index = place
+        self._rebuild_pools()
 
     def _verify_list(self) -> None:
+        """Accepts the cached list, as discovery could not be reached."""
         if not self.list_verified:
             self.list_verified = True
-            self._rebuild()
+            self._rebuild_pools()
 
     def _subscribe(self) -> None:
+        """Calls discovery, and sets the timer of a further call."""
         self.actions.append(Subscribe())
-        self.asked += 1
-        self.asked_at = self.now
-        self._ask_in(self.settings.must_ask_in // 2)  # should no answer come at all
-
-    def _ask_later(self, first: float = ASK_LOST) -> None:
-        """First over a short time, for the sake of what has changed; then over one in which all can be served.
-        Gateways that begin or lose their watches as one ask one after the other, each at the place of its number: a
-        call that waits too long is served for nothing, and where too many meet by chance all do, for good."""
-        if self.settings.pushed:  # nobody else waits for it, and what it has counts as told at once
-            self._ask_in(min(ASK_AGENT_MOST, ASK_AGENT << min(self.asked, 9)))
+        self.subscribe_calls += 1
+        self.subscribe_called_at = self.now
+        self._subscribe_in(self.settings.must_ask_in // 2)  # in case no answer comes at all
+
+    def _schedule_subscribe(self, first_span: float = SUBSCRIBE_SPAN_LOST) -> None:
+        """Schedules the next call: first within a short span, to learn of changes soon, then within one that is long
+        enough for all gateways to be served.
+
+        Gateways that start or lose their watches together call one after the other, each in the order of its number.
+        A call that waits too long is served in vain, and where too many coincide by chance, that happens to all of
+        them and doesn't end.
+        """
+        if self.settings.pushed:  # no other gateway uses the agent, and its changes count as received at once
+            self._subscribe_in(min(AGENT_RETRY_MAX_US, AGENT_RETRY_US << min(self.subscribe_calls, 9)))
             return
-        span, number = self._ask_span(self.asked, first), self.settings.gateway
+        span, number = self._subscribe_span(self.subscribe_calls, first_span), self.settings.gateway
         delay = self.random() * span
         if number >= 0:
-            last = self._ask_span(self.asked - 1, first)
+            previous_span = self._subscribe_span(self.subscribe_calls - 1, first_span)
             place = (number % self.settings.gateways + 0.5) / self.settings.gateways
-            delay = last - (self.now - self.asked_at) if self.asked else 0.0
-            delay = (delay + place * (span - last)) * (1 + ASK_JITTER * (2 * self.random() - 1))
-        self._ask_in(max(1, int(delay)))
-
-    def _ask_span(self, asked: int, first: float) -> float:
-        """Over what time the gateways' calls are spread that come after so many in vain."""
-        over = ASK_GATEWAY * self.settings.gateways
-        most = first if asked < 1 else ASK_AGAIN
-        told_by = min(TOLD_BY, self.settings.must_ask_in)
-        return told_by * min(most, over * 2.0 ** min(asked, 9)) if asked >= 0 else 0.0
-
-    def _ask_in(self, delay: int) -> None:
-        self.ask_at = self.now + delay
+            delay = previous_span - (self.now - self.subscribe_called_at) if self.subscribe_calls else 0.0
+            delay = (delay + place * (span - previous_span)) * (1 + SUBSCRIBE_JITTER * (2 * self.random() - 1))
+        self._subscribe_in(max(1, int(delay)))
+
+    def _subscribe_span(self, calls: int, first_span: float) -> float:
+        """Microseconds over which the gateways spread the call that follows this number of failed ones."""
+        by_gateways = SUBSCRIBE_SPAN_PER_GATEWAY * self.settings.gateways
+        limit = first_span if calls < 1 else SUBSCRIBE_SPAN_RETRY
+        deadline = min(LIST_CHANGE_DEADLINE_US, self.settings.must_ask_in)
+        return deadline * min(limit, by_gateways * 2.0 ** min(calls, 9)) if calls >= 0 else 0.0
+
+    def _subscribe_in(self, delay: int) -> None:
+        """Sets the timer of the next call."""
+        self.subscribe_at = self.now + delay
         self.actions.append(SetTimer(delay, SUBSCRIBE_TAG))
--- a/pearstall/models/attempt.py
+++ b/pearstall/models/attempt.py
@@ -363,13 +363,13 @@
         calls = sorted(
             (
                 numbers.get(id, -1),
-                call.out,
+                call.in_flight,
                 call.answered,
                 call.streaming,
                 max(0, call.hedge_at - router.now),
                 tuple((attempt.replica.id, attempt.result, attempt.waiting) for attempt in call.attempts),
             )
-            for id, call in router.calls.items()
+            for id, call in router.pending.items()
         )
         replicas = sorted(
             (
@@ -383,7 +383,7 @@
             )
             for one in router.replicas.values()
         )
-        held = sorted(numbers.get(id, -1) for id in router.held)
+        held = sorted(numbers.get(id, -1) for id in router.queued)
         return (queries, calls, replicas, held, tuple(self.status.items()), timers, self.hurried, self.lists)
 
     def breaches(self) -> list[str]:
@@ -416,8 +416,8 @@
                 out.append(f"never-two-out: {name} has {open} links open")
             if query.out != live:
                 out.append(f"books: {name} has {live} out, and the core counts {query.out}")
-            call = router.calls.get(asked.handle)
-            known = call.out if call is not None else 0
+            call = router.pending.get(asked.handle)
+            known = call.in_flight if call is not None else 0
             if known != live:
                 out.append(f"books: {name} has {live} out, and the Router counts {known}")
             if not asked.over and call is None:
@@ -438,9 +438,9 @@
         held = {
             "queries": len(core.queries),
             "ids": len(core.open_ids),
-            "calls": len(router.calls),
-            "held": len(router.held),
-            "out": router.out,
+            "calls": len(router.pending),
+            "held": len(router.queued),
+            "out": router.in_flight,
             "streams": sum(one.streams for one in router.replicas.values()),
             "waiting": sum(len(one.waiting) for one in router.replicas.values()),
         }
--- a/pearstall/models/listing.py
+++ b/pearstall/models/listing.py
@@ -234,7 +234,7 @@
             replicas,
             timers,
             router.subscribed,
-            len(router.held),
+            len(router.queued),
         )
 
     def breaches(self) -> list[str]:
--- a/pearstall/models/mutants.py
+++ b/pearstall/models/mutants.py
@@ -120,11 +120,13 @@
     Mutant(
         "outcomes don't take their stream off", R + "_on_outcome", "replica.streams -= 1", "pass", "attempt", "one", 3
     ),
-    Mutant("the Router forgets what it has out", R + "_on_outcome", "self.out -= 1", "pass", "attempt", "one", 3),
+    Mutant(
+        "the Router forgets what it has out", R + "_on_outcome", "self.in_flight -= 1", "pass", "attempt", "one", 3
+    ),
     Mutant(
         "a client that left is not withdrawn",
         R + "_on_client_gone",
-        "self._cancel_out(call)",
+        "self._cancel_in_flight(pending)",
         "pass",
         "attempt",
         "one",
@@ -150,7 +152,7 @@
     ),
     Mutant(
         "given up, and nothing said",
-        R + "_end",
+        R + "_refuse_or_fail",
         "self.actions.append(Refuse(id, self.settings.max_retry_after, why) if refuse else Fail(id, why))",
         "pass",
         "attempt",
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""A gateway's end of the router for scripted tests: it keeps the clock and the books, and plays no server."""
+"""A gateway around a Router for scripted tests. It keeps the clock and records actions; it plays no server."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
 
 
 def settings(*classes: dict[str, Any], **changes: Any) -> Settings:
+    """Settings with these classes, and defaults for what is left out."""
     base: dict[str, Any] = {
         "tick": 5 * MS,
         "max_attempts": 4,
@@ -44,10 +45,13 @@
 
 
 def entry(id: int, **changes: Any) -> Replica:
+    """An entry of a list: by default a ready replica of zone 0."""
     return Replica(**{"id": id, "zone": 0, "cell": 0, "state": State.READY, **changes})
 
 
 class Gateway:
+    """One Router, its clock in microseconds, its timers, and the attempts and log lines that it asked for."""
+
     def __init__(self, settings: Settings, replicas: int | list[Replica] = 4, seed: int = 7) -> None:
         self.router = Router(settings, seed)
         self.now = START
@@ -55,11 +59,12 @@
         self.attempts: dict[int, list[Send]] = {}
         self.timers: list[tuple[int, int]] = []
         self.logs: list[str] = []
-        self.first = self.note(self.router.start(self.now))
+        self.start_actions = self.record(self.router.start(self.now))
         entries = [entry(n) for n in range(replicas)] if isinstance(replicas, int) else replicas
-        self.tell_list(ListKind.CACHED, *entries)
+        self.deliver_list(ListKind.CACHED, *entries)
 
-    def note(self, actions: list[Action]) -> list[Action]:
+    def record(self, actions: list[Action]) -> list[Action]:
+        """Records attempts, timers and log lines; returns the actions."""
         for action in actions:
             if isinstance(action, Send):
                 self.attempts.setdefault(action.request, []).append(action)
@@ -69,45 +74,46 @@
                 self.logs.append(action.text)
         return actions
 
-    def tell(self, event: Event) -> list[Action]:
-        return self.note(self.router.handle(self.now, event))
+    def deliver(self, event: Event) -> list[Action]:
+        return self.record(self.router.handle(self.now, event))
 
-    def tell_list(self, kind: int, *entries: Replica) -> list[Action]:
-        return self.tell(ReplicaList(kind, list(entries)))
+    def deliver_list(self, kind: int, *entries: Replica) -> list[Action]:
+        return self.deliver(ReplicaList(kind, list(entries)))
 
     def request(self, **changes: Any) -> tuple[int, list[Action]]:
+        """Delivers a new request; returns its id and the Router's actions."""
         id = self.next_id
         self.next_id += 1
         fields = {"id": id, "class_index": 0, "deadline": self.now + 5 * S, "prompt_tokens": 1000.0}
-        return id, self.tell(Request(**{**fields, **changes}))
+        return id, self.deliver(Request(**{**fields, **changes}))
 
     def sent(self, id: int) -> int:
-        """The replica of the latest attempt."""
+        """The replica of the request's latest attempt."""
         return self.attempts[id][-1].replica
 
     def first_token(self, id: int, took: int = 100 * MS) -> list[Action]:
-        return self.tell(FirstToken(id, len(self.attempts[id]) - 1, self.sent(id), took))
+        return self.deliver(FirstToken(id, len(self.attempts[id]) - 1, self.sent(id), took))
 
     def outcome(self, id: int, result: Result, attempt: int = -1, **changes: Any) -> list[Action]:
         number = attempt if attempt >= 0 else len(self.attempts[id]) - 1
         fields = {"result": result, "done": result == Result.OK, "took": 100 * MS}
         event = Outcome(id, number, self.attempts[id][number].replica, **{**fields, **changes})
-        return self.tell(event)
+        return self.deliver(event)
 
     def wait(self, time: int) -> list[Action]:
-        """Lets time pass: due timers are told, one after the other."""
+        """Lets time pass, and delivers due timers one after the other."""
         end = self.now + time
         actions: list[Action] = []
         while due := [item for item in self.timers if item[0] <= end]:
             at, tag = min(due)
             self.timers.remove((at, tag))
             self.now = max(self.now, at)
-            actions += self.tell(Timer(tag))
+            actions += self.deliver(Timer(tag))
         self.now = end
         return actions
 
     def serve(self, **changes: Any) -> int:
-        """One request, answered at once; returns the replica."""
+        """Sends one request that is answered at once; returns its replica."""
         id, _ = self.request(**changes)
         replica = self.sent(id)
         self.first_token(id)
@@ -116,6 +122,7 @@
 
 
 def of(kind: type, actions: list[Action]) -> list[Any]:
+    """The actions of one kind."""
     return [action for action in actions if isinstance(action, kind)]
 
 
--- a/tests/test_class_starvation.py
+++ b/tests/test_class_starvation.py
@@ -136,24 +136,24 @@
 
 def test_a_first_token_as_late_as_an_idle_replica_makes_it_lowers_no_limit() -> None:
     gateway = Gateway(settings({"aim": 100 * MS, "late_worth": 0.5}, **FLEET), 20)
-    before = gateway.router.room
+    before = gateway.router.concurrency_limit
     first_tokens(gateway, 90 * MS, 200)
-    assert gateway.router.room >= before and not gateway.router.crowded
+    assert gateway.router.concurrency_limit >= before and not gateway.router.saturated
 
 
 def test_a_first_token_far_later_than_that_does() -> None:
     gateway = Gateway(settings({"aim": 100 * MS, "late_worth": 0.5}, **FLEET), 20)
     first_tokens(gateway, 40 * MS, 60)
-    before = gateway.router.room
+    before = gateway.router.concurrency_limit
     first_tokens(gateway, 900 * MS, 20)
-    assert gateway.router.room < 0.5 * before and gateway.router.crowded
+    assert gateway.router.concurrency_limit < 0.5 * before and gateway.router.saturated
 
 
 def test_a_class_with_nothing_out_is_not_refused_for_the_streams_of_another() -> None:
     """Whatever the limit: a stream of it at each gateway, or half of an equal part of what the gateway may have."""
     gateway = Gateway(settings({"late_worth": 0.5}, {"late_worth": 0.5}, **FLEET), 6)
     gateway.serve(class_index=1)  # not long ago
-    gateway.router.room, gateway.router.crowded = 10.0 / 200, True
+    gateway.router.concurrency_limit, gateway.router.saturated = 10.0 / 200, True
     others = [gateway.request(session=number + 1)[1] for number in range(6)]
     assert any(map(refused, others))
     _, actions = gateway.request(class_index=1)
@@ -164,7 +164,7 @@
 def time_out(gateway: Gateway, class_index: int) -> int:
     """One request whose attempts all time out at once; returns how many there were."""
     id, _ = gateway.request(class_index=class_index, deadline=gateway.now + 30 * S)
-    while id in gateway.router.calls:
+    while id in gateway.router.pending:
         gateway.outcome(id, Result.TIMEOUT, took=50 * MS)
     return len(gateway.attempts.get(id, []))
 
@@ -184,7 +184,7 @@
     gateway.serve(class_index=1)
     sent = 0
     for _ in range(50):  # over 10 s
-        gateway.router.quick = gateway.router.quick_most  # longer than the time that it has
+        gateway.router.light_ttft = gateway.router.light_ttft_max  # longer than the time that it has
         id, _ = gateway.request(class_index=1, deadline=gateway.now + 390 * MS)
         if id in gateway.attempts:
             sent += 1
@@ -206,11 +206,11 @@
     for _ in range(3):
         id, _ = gateway.request(deadline=gateway.now + 5 * S)
         gateway.wait(990 * MS)
-        if id in gateway.router.calls:
+        if id in gateway.router.pending:
             gateway.outcome(id, Result.TIMEOUT, took=990 * MS)
             gateway.wait(5 * S)
     id, _ = gateway.request(deadline=gateway.now + 5 * S)
-    assert gateway.router.calls[id].earn_by == gateway.now + 5 * S
+    assert gateway.router.pending[id].useful_until == gateway.now + 5 * S
 
 
 def test_nothing_is_shed_before_there_is_a_sample_whatever_the_token_aims() -> None:
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -31,7 +31,9 @@
             gateway.first_token(id, int(took * random.uniform(0.8, 1.2)))
             gateway.outcome(id, Result.OK)
         gateway.wait(300 * MS)
-        for late in [late for late, call in gateway.router.calls.items() if call.out]:  # sent while it was held
+        for late in [
+            late for late, call in gateway.router.pending.items() if call.in_flight
+        ]:  # sent while it was held
             gateway.first_token(late, took)
             gateway.outcome(late, Result.OK)
     return [part / max(1, whole) for part, whole in zip(sent, asked, strict=True)]
@@ -49,21 +51,21 @@
     """On a roll half of them are: their steps take eight times as long with nobody there."""
     cold = [entry(n, started=START - S) for n in range(100)]
     gateway = Gateway(settings({"token_aim": 50 * MS, "late_worth": 0.5}, **FLEET), cold, seed=1)
-    gateway.router.quick = 40.0 * MS
+    gateway.router.light_ttft = 40.0 * MS
     served(gateway, 400 * MS, asks=40, prompt_tokens=60.0)
-    assert gateway.router.quick < 100 * MS
+    assert gateway.router.light_ttft < 100 * MS
 
 
 def jam(gateway: Gateway, how: str) -> None:
     """Puts into the Router what would have it refuse all that comes."""
     router = gateway.router
     if how == "pace":
-        router.quick = router.quick_most
+        router.light_ttft = router.light_ttft_max
     for replica in router.replicas.values():
         if how == "crowded":
             replica.streams = 99
         elif how == "predicted":
-            replica.fitted, replica.w0 = gateway.now, 60.0 * S
+            replica.fitted_at, replica.w0 = gateway.now, 60.0 * S
 
 
 @pytest.mark.parametrize("how", ["pace", "crowded", "predicted"])
@@ -146,8 +148,8 @@
 def test_a_class_that_is_not_there_is_refused_and_harms_nobody() -> None:
     gateway = Gateway(settings(**FLEET), 4)
     assert refused(gateway.request(class_index=7)[1])
-    assert not gateway.router.calls
-    gateway.tell_list(ListKind.DELTA, entry(99))
+    assert not gateway.router.pending
+    gateway.deliver_list(ListKind.DELTA, entry(99))
     gateway.serve()
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -387,7 +387,7 @@
             end.close()
             await until(lambda: not len(program.clients.links) and not server.open)
             assert len(server.seen) == 1 and program.counters.clients_gone == 1
-            assert not len(program.core.queries) and not program.core.router.calls
+            assert not len(program.core.queries) and not program.core.router.pending
 
     asyncio.run(scene())
 
@@ -470,9 +470,9 @@
             program, ports = await stack.enter_async_context(running(tmp_path, []))
             client = Client("platform", ports["platform"])
             await client.send()
-            await until(lambda: len(program.core.router.held) == 1)
+            await until(lambda: len(program.core.router.queued) == 1)
             client.close()
-            await until(lambda: not program.core.router.held and not len(program.core.queries))
+            await until(lambda: not program.core.router.queued and not len(program.core.queries))
             program.cluster.take(HostList([Host("s0", f"{LOCAL}:{server.port}", "a", "m1")], 5), ListKind.FULL)
             assert (await Client("platform", ports["platform"], "n").ask())[0] == "served"
             assert len(server.seen) == 1 and program.counters.clients_gone == 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 
 from benchmarks.fleet import Classes, follow, phases
 from benchmarks.terms import Terms
-from pearstall.choice import Router, _Call
+from pearstall.choice import Router, _PendingRequest
 from pearstall.interface import ListKind, ReplicaList, Request, Result, Send, SetTimer, State, Subscribe, Timer
 from pearstall.settings import settings_from_wire
 from tests.support import AIM, MS, START, Gateway, S, entry, of, refused, settings
@@ -129,7 +129,7 @@
     for _ in range(asked):
         id, _ = gateway.request(deadline=gateway.now + 5 * S)
         for _ in range(3):
-            if id in gateway.router.calls and gateway.router.calls[id].out:
+            if id in gateway.router.pending and gateway.router.pending[id].in_flight:
                 gateway.now += 500 * MS
                 gateway.outcome(id, Result.TIMEOUT, took=500 * MS)
     sent = sum(map(len, gateway.attempts.values()))
@@ -177,8 +177,10 @@
         router.handle(0, ReplicaList(ListKind.FULL, [entry(id) for id in ids]))
         found = {}
         for session in range(1, 301):
-            call = _Call(Request(session, 0, 10 * S, 1000.0, session * 7919, 5, 500.0), router.settings.classes[0], 0)
-            found[session] = router._find_homes(call)[call.session_home].id
+            call = _PendingRequest(
+                Request(session, 0, 10 * S, 1000.0, session * 7919, 5, 500.0), router.settings.classes[0], 0
+            )
+            found[session] = router._find_preferred(call)[call.session_index].id
         return found
 
     ids = list(range(100, 112))
@@ -191,8 +193,10 @@
     found = {}
     for session in sessions:
         tokens = 500.0 if prefix else 0.0
-        call = _Call(Request(1, 0, 10 * S, 1000.0, session * 7919, prefix, tokens), router.settings.classes[0], 0)
-        found[session] = router._find_homes(call)[call.session_home].id
+        call = _PendingRequest(
+            Request(1, 0, 10 * S, 1000.0, session * 7919, prefix, tokens), router.settings.classes[0], 0
+        )
+        found[session] = router._find_preferred(call)[call.session_index].id
     return found
 
 
@@ -203,7 +207,7 @@
     router = Router(settings(gateways=200), 1)
     router.handle(0, ReplicaList(ListKind.FULL, [entry(id) for id in range(servers)]))
     if prefix:
-        router.asked_prefix[prefix], router.asked_prefixes = 4000.0, 4000.0
+        router.prefix_requests[prefix], router.prefix_requests_total = 4000.0, 4000.0
     sessions = range(1, 8 * servers + 1)
     found = Counter(homes_of_sessions(router, sessions, prefix).values())
     assert len(found) > 0.9 * servers and max(found.values()) < 5 * len(sessions) / servers
@@ -228,8 +232,8 @@
         router.handle(0, ReplicaList(ListKind.FULL, [entry(id) for id in range(100)]))
         for _ in range(30):
             prefix = int(random.paretovariate(1.0)) % 12 + 1
-            router.asked_prefix[prefix] = router.asked_prefix.get(prefix, 0.0) + 1.0
-            router.asked_prefixes += 1.0
+            router.prefix_requests[prefix] = router.prefix_requests.get(prefix, 0.0) + 1.0
+            router.prefix_requests_total += 1.0
         found.append([homes_of_sessions(router, range(1, 50), prefix) for prefix in range(1, 13)])
     same = [mine[one] == its[one] for mine, its in zip(*found, strict=True) for one in mine]
     assert sum(same) > 0.8 * len(same)
@@ -242,8 +246,8 @@
         for n in range(1, 21):
             gateway = in_zones(200, n % 5)
             request = Request(0, 0, 10 * S, 7000.0, n * 104729, n * 7919, 5000.0)
-            call = _Call(request, gateway.router.settings.classes[0], 0)
-            home = gateway.router._find_homes(call)[call.session_home]
+            call = _PendingRequest(request, gateway.router.settings.classes[0], 0)
+            home = gateway.router._find_preferred(call)[call.session_index]
             id, _ = gateway.request(
                 prompt_tokens=7000.0, session=n * 104729, prefix=n * 7919, prefix_tokens=5000.0, repeated=repeated
             )
@@ -255,7 +259,7 @@
     """A home takes a stream of each router, and every server is home to some: 283 executions a second went on
     for 125 first tokens, long after the roll that had begun it."""
     gateway = in_zones(200, 0)
-    gateway.router.room, gateway.router.crowded = 10.0 / 200, True  # late first tokens were seen
+    gateway.router.concurrency_limit, gateway.router.saturated = 10.0 / 200, True  # late first tokens were seen
     sent = 0
     for n in range(1, 101):
         _, actions = gateway.request(prompt_tokens=900.0, session=n * 104729, class_index=0)
@@ -269,7 +273,7 @@
     for _ in range(1200):
         gateway.serve(prompt_tokens=200.0)
         gateway.wait(10 * MS)
-    gateway.tell_list(ListKind.DELTA, entry(999, started=gateway.now - 10 * S))
+    gateway.deliver_list(ListKind.DELTA, entry(999, started=gateway.now - 10 * S))
     sent = 0
     for _ in range(1000):
         id, _ = gateway.request(prompt_tokens=200.0)
@@ -314,11 +318,11 @@
     for zone in range(5):
         gateway = in_zones(200, zone)
         for prefix, held in holders.items():
-            call = _Call(
+            call = _PendingRequest(
                 Request(prefix, 0, 10 * S, 6000.0, 0, prefix * 7919, 5000.0), gateway.router.settings.classes[0], 0
             )
-            ring = gateway.router._find_homes(call)
-            held.update(ring[(call.homes_from + step) % len(ring)].id for step in range(call.homes))
+            ring = gateway.router._find_preferred(call)
+            held.update(ring[(call.preferred_start + step) % len(ring)].id for step in range(call.preferred_count))
     assert max(map(len, holders.values())) <= 8
 
 
@@ -327,11 +331,11 @@
     stayed = 0
     for zone in range(5):
         gateway = in_zones(200, zone)
-        gateway.router.room, gateway.router.crowded = 10.0 / 200, True  # late first tokens were seen
+        gateway.router.concurrency_limit, gateway.router.saturated = 10.0 / 200, True  # late first tokens were seen
         for n in range(1, 9):
             request = Request(0, 0, 10 * S, 7000.0, n * 104729, n * 7919, 5000.0)
-            call = _Call(request, gateway.router.settings.classes[0], 0)
-            home = gateway.router._find_homes(call)[call.session_home]
+            call = _PendingRequest(request, gateway.router.settings.classes[0], 0)
+            home = gateway.router._find_preferred(call)[call.session_index]
             id, _ = gateway.request(
                 deadline=gateway.now + 6 * S, prompt_tokens=7000.0, session=n * 104729, prefix=n * 7919,
                 prefix_tokens=5000.0,
@@ -345,13 +349,13 @@
 def test_one_own_stream_does_not_weigh_as_much_as_reading_a_prompt_anew() -> None:
     """It is no sign of 200: where each gateway has some eight streams out at forty replicas, one more is chance."""
     gateway = in_zones(200, 0)
-    gateway.router.out = 8
+    gateway.router.in_flight = 8
     gateway.request()
-    assert 0 < gateway.router.crowding < 0.4 * AIM
+    assert 0 < gateway.router.stream_cost < 0.4 * AIM
     few = in_zones(4, 0, 12)
-    few.router.out = 24
+    few.router.in_flight = 24
     few.request()
-    assert few.router.crowding < 0.1 * AIM
+    assert few.router.stream_cost < 0.1 * AIM
 
 
 def test_a_requests_path_is_found_over_all_routers_and_its_clients_tries(tmp_path: Path) -> None:
@@ -417,7 +421,7 @@
     waits = []
     for share in (0.0, 0.4):
         gateway = in_zones(200, 0)
-        gateway.router.timeouts = share
+        gateway.router.timeout_share = share
         _, actions = gateway.request(deadline=gateway.now + 3 * S, prompt_tokens=2000.0)
         waits += [send.timeout for send in of(Send, actions)]
     assert waits[0] < 2_700 * MS and waits[1] >= 2_900 * MS
@@ -509,7 +513,7 @@
         for gateway in fleet:
             gateway.wait(8 * S // 360)
     for gateway in fleet:
-        gateway.tell_list(ListKind.DELTA, *[entry(n, state=State.GONE) for n in range(4, 12)])
+        gateway.deliver_list(ListKind.DELTA, *[entry(n, state=State.GONE) for n in range(4, 12)])
     for turn in range(1000):  # and 4 s of 250 a second
         ask(fleet[turn * 7 % gateways])
         for gateway in fleet:
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -42,7 +42,7 @@
 
 def classes_in_use(program: Program) -> list[int]:
     """The aims of the open requests, in milliseconds."""
-    return [call.klass.aim // MS for call in program.core.router.calls.values()]
+    return [call.klass.aim // MS for call in program.core.router.pending.values()]
 
 
 def test_classes_in_another_order_keep_their_meaning(tmp_path: Path) -> None:
@@ -100,7 +100,7 @@
             assert program.servers.connect_limit == pytest.approx(0.09)
             assert program.servers.idle_limit == pytest.approx(7.0)
             assert program.core.settings.tenant_shares == (0.5, 0.5)
-            assert len(program.core.router.asked_share) == 2
+            assert len(program.core.router.tenant_request_share) == 2
             assert (await client.ask())[0] == "served"
 
     asyncio.run(scene())
@@ -169,16 +169,16 @@
         id, _ = gateway.request(class_index=1)
         gateway.outcome(id, Result.TIMEOUT, took=S, done=True)
     open_call, _ = gateway.request(class_index=0)
-    missed = router.states[1].in_time
+    missed = router.states[1].on_time_share
     router.reconfigure(settings(TWO, TWO, ONE, tenant_shares=[0.2, 0.5, 0.3]), [1, -1, 0], [1, -1, 0])
-    assert router.states[0].in_time == missed < router.states[1].in_time
-    assert router.states[2].out == 1 and router.calls[open_call].klass.aim == 1 * S
-    assert router.asked_share[1] == 0.5 and len(router.asked_share) == 3
+    assert router.states[0].on_time_share == missed < router.states[1].on_time_share
+    assert router.states[2].in_flight == 1 and router.pending[open_call].klass.aim == 1 * S
+    assert router.tenant_request_share[1] == 0.5 and len(router.tenant_request_share) == 3
     gateway.first_token(open_call)
     gateway.outcome(open_call, Result.OK)
-    assert router.states[2].out == 0 and not router.calls
+    assert router.states[2].in_flight == 0 and not router.pending
     id, actions = gateway.request(class_index=2)
-    assert not refused(actions) and router.calls[id].klass.aim == 1 * S
+    assert not refused(actions) and router.pending[id].klass.aim == 1 * S
 
 
 def test_a_class_that_is_gone_ends_its_open_requests_and_takes_no_other() -> None:
@@ -189,5 +189,5 @@
     assert len(gateway.attempts[id]) == 2
     gateway.first_token(id)
     gateway.outcome(id, Result.OK)
-    assert refused(gateway.request(class_index=1)[1]) and not gateway.router.calls
+    assert refused(gateway.request(class_index=1)[1]) and not gateway.router.pending
     gateway.serve()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -44,9 +44,7 @@
             listener = await asyncio.start_server(discovery.link, LOCAL, 0)
             port = listener.sockets[0].getsockname()[1]
             made = setup(groupSize=MANY)
-            program, ports = await stack.enter_async_context(
-                running(tmp_path, [], discovery=port, settings=made)
-            )
+            program, ports = await stack.enter_async_context(running(tmp_path, [], discovery=port, settings=made))
             await until(lambda: len(program.cluster.addresses) == MANY)
             discovery.more.set()
             await until(lambda: program.cluster.index == 9)
@@ -72,9 +70,9 @@
 
 def test_a_drain_of_half_of_them_acts_at_once_and_new_ones_are_met() -> None:
     gateway = Gateway(settings(**FLEET | {"subscribe": False}), [entry(n) for n in range(MANY)], seed=1)
-    gateway.tell_list(ListKind.DELTA, *[entry(n, state=State.DRAINING) for n in range(MANY // 2)])
+    gateway.deliver_list(ListKind.DELTA, *[entry(n, state=State.DRAINING) for n in range(MANY // 2)])
     fresh = [entry(MANY + n, started=START - S) for n in range(MANY // 2)]
-    gateway.tell_list(ListKind.DELTA, *fresh)
+    gateway.deliver_list(ListKind.DELTA, *fresh)
     met: Counter[int] = Counter()
     for number in range(2 * MANY):
         id, actions = gateway.request(session=number + 1, prompt_tokens=200.0)
