--- a/pearstall/__main__.py
+++ b/pearstall/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pearstall`: one real router; with a word behind it, the command line."""
+"""`python -m pearstall` runs one router; with a sub-command it is the command line interface."""
 
 from __future__ import annotations
 
@@ -15,41 +15,42 @@
     from pearstall.net.config import Config
 
 READ_ATTEMPTS = 30
-READ_PAUSE_SECONDS = 0.1
+READ_RETRY_SECONDS = 0.1
 
 
 def main() -> int:
     if len(sys.argv) > 1 and not sys.argv[1].startswith("-"):
-        from pearstall.cli.main import main as commands  # with its libraries; the platform needs neither
+        # Imported only when needed: a platform's router uses neither the command line nor its libraries.
+        from pearstall.cli.main import main as commands
 
         return commands()
-    signals.hold_back()
+    signals.block()
     parser = argparse.ArgumentParser(prog="pearstall", description="A router for model servers.")
-    parser.add_argument("--config", default="", help="the configuration; else what EDGE_CONFIG names")
-    parser.add_argument("--operators", "--openai", default="", help="the operators' settings (KDL): further fronts")
-    parser.add_argument("--inventory", default="", help="a CSV or YAML list of model servers, not discovery")
-    parser.add_argument("--trace", action="store_true", help="every event and action as a line, for experiments")
-    given = parser.parse_args()
-    return serve(given)
+    parser.add_argument("--config", default="", help="the configuration file (default: EDGE_CONFIG)")
+    parser.add_argument("--operators", "--openai", default="", help="the operators' settings (KDL): more fronts")
+    parser.add_argument("--inventory", default="", help="model servers in a CSV or YAML file instead of discovery")
+    parser.add_argument("--trace", action="store_true", help="print each event and action as a line, for experiments")
+    options = parser.parse_args()
+    return serve(options)
 
 
-def serve(given: argparse.Namespace) -> int:
-    import asyncio  # most of the start's time: after the signals are held back
+def serve(options: argparse.Namespace) -> int:
+    import asyncio  # most of the start-up time, so it is imported after signals are blocked
 
     from pearstall.net.config import ConfigError, read_config
     from pearstall.net.serve import run
 
-    read = partial(read_config, operators=given.operators, inventory=given.inventory, config=given.config)
+    read = partial(read_config, operators=options.operators, inventory=options.inventory, config=options.config)
     try:
-        asyncio.run(run(read_when_possible(read), given.trace))
+        asyncio.run(run(read_with_retries(read), options.trace))
     except ConfigError as error:
         print(f"pearstall: {error}", file=sys.stderr)
         return 2
     return 0
 
 
-def read_when_possible(read: Callable[[], Config]) -> Config:
-    """A file that can't be read for a reason that passes is read again; a start that fails is an outage."""
+def read_with_retries(read: Callable[[], Config]) -> Config:
+    """Retries after transient read errors, because a router that fails to start is an outage."""
     from pearstall.net.config import ConfigError
 
     for _ in range(READ_ATTEMPTS - 1):
@@ -58,7 +59,7 @@
         except ConfigError as error:
             if not error.passing:
                 raise
-            time.sleep(READ_PAUSE_SECONDS)
+            time.sleep(READ_RETRY_SECONDS)
     return read()
 
 
--- a/pearstall/cli/main.py
+++ b/pearstall/cli/main.py
@@ -31,7 +31,7 @@
 @click.option("--inventory", type=path, help="Model servers in a CSV or YAML file, not from discovery.")
 def run(config: Path | None, operators: Path | None, inventory: Path | None) -> None:
     """Run one router until SIGTERM or Ctrl-C."""
-    signals.hold_back()
+    signals.block()
     from pearstall.net.config import ConfigError, read_config
     from pearstall.net.serve import run as serve
 
--- a/pearstall/edge/attach.py
+++ b/pearstall/edge/attach.py
@@ -13,7 +13,7 @@
 from pearstall.edge.service import Edge
 from pearstall.edge.settings import EdgeConfig
 from pearstall.edge.tokens import Keyring
-from pearstall.logs import make_note
+from pearstall.logs import make_logger
 from pearstall.net.client_link import ClientLinks
 from pearstall.net.config import Config, OpenAIConfig
 from pearstall.net.core import Core
@@ -27,7 +27,7 @@
         log = config.operators.log
         for warning in config.operators.warnings:
             print(f"pearstall: {warning}", file=sys.stderr, flush=True)
-        self.note = make_note(log.form, log.level, log.flood)
+        self.note = make_logger(log.form, log.level, log.flood)
         self.listen = config.edge.listen if config.edge is not None else None
         self.edge = Edge(
             config.edge or closed(config.openai), config.names, core, core.deadlines, self.note, config.seed, now
--- a/pearstall/eventlog.py
+++ b/pearstall/eventlog.py
@@ -1,7 +1,8 @@
-"""The router's own log: one line of JSON for each event, on standard error.
+"""The router's event log: one line of JSON per event, on standard error.
 
-Logging must never hold up the event loop and never raise: lines wait in memory, are written only while the descriptor
-takes them, and are counted as lost where it does not. Prompts and answers are never logged.
+Logging must never block the event loop and never raise. Lines are buffered in memory and written only while the
+descriptor is writable; lines that cannot be written or buffered are dropped and counted. Prompts and answers are
+never logged.
 """
 
 from __future__ import annotations
@@ -17,26 +18,27 @@
 import msgspec
 
 FLUSH_SECONDS = 0.1
-MOST_PENDING_BYTES = 256 * 1024
-WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable takes so much without blocking
-LINES_PER_SECOND = 50  # of one event; a window of one second each
+MAX_PENDING_BYTES = 256 * 1024
+MAX_WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable takes at least this much without blocking
+LINES_PER_SECOND = 50  # limit for each event name, counted in windows of one second
 STANDARD_ERROR = 2
 
 
 class Scheduler(Protocol):
-    """What runs the delayed flush: the program's deadlines."""
+    """Runs the delayed flush; the router passes its deadlines."""
 
     def after(self, delay: float, call: Callable[[], object], /) -> object: ...
 
 
 class Sink(Protocol):
-    """Where lines go. Returns how many bytes it took, 0 where it would block; an OSError loses them."""
+    """The destination of lines. `write` returns how many bytes it accepted, 0 if it would block; an OSError means
+    that the pending lines are lost."""
 
     def write(self, data: bytes) -> int: ...
 
 
 class DescriptorSink:
-    """A file descriptor that is shared with others, so its blocking mode stays as it is."""
+    """Writes to a file descriptor that other processes may share, so its blocking mode is not changed."""
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
         self.descriptor = descriptor
@@ -47,14 +49,14 @@
         if not self.poll.poll(0):
             return 0
         try:
-            return os.write(self.descriptor, data[:WRITE_BYTES])
+            return os.write(self.descriptor, data[:MAX_WRITE_BYTES])
         except BlockingIOError:
             return 0
 
 
 @dataclass(slots=True)
 class Window:
-    """The lines of one event in the present second."""
+    """Counts the lines of one event name in the current second."""
 
     since: float
     lines: int = 0
@@ -62,7 +64,7 @@
 
 
 class EventLog:
-    """`enabled` is False for one that drops everything, as simulations of many routers want."""
+    """Logs events to a sink. Without a sink, as in simulations of many routers, it is disabled and drops them."""
 
     def __init__(
         self,
@@ -99,15 +101,15 @@
         self._append(self._encode(row) + b"\n")
 
     def line(self, text: str) -> None:
-        """A line of another form, without a limit on how often."""
+        """Logs a line of plain text. The rate limit does not apply to it."""
         if self.sink is not None:
             self._append(text.encode(errors="replace") + b"\n")
 
     def flush(self) -> None:
-        """Writes what the sink takes now. What it can't take for good is counted as lost."""
+        """Writes as much as the sink accepts now. If the sink fails, all pending lines are counted as lost."""
         while self.pending and self.sink is not None:
             try:
-                written = self.sink.write(bytes(self.pending[:WRITE_BYTES]))
+                written = self.sink.write(bytes(self.pending[:MAX_WRITE_BYTES]))
             except InterruptedError:
                 continue
             except OSError:
@@ -128,7 +130,7 @@
         return window
 
     def _append(self, line: bytes) -> None:
-        if len(self.pending) + len(line) > MOST_PENDING_BYTES:
+        if len(self.pending) + len(line) > MAX_PENDING_BYTES:
             self.lost += 1
             return
         self.pending += line
@@ -150,6 +152,6 @@
 
 
 def log_exception(log: EventLog, error: Exception) -> None:
-    """Where an exception was raised that a handler has stopped."""
+    """Logs a caught exception with the file and line where it was raised."""
     where = traceback.extract_tb(error.__traceback__)[-1]
     log.event("exception", file=where.filename, line=where.lineno, kind=type(error).__name__, text=str(error))
--- a/pearstall/logs.py
+++ b/pearstall/logs.py
@@ -1,7 +1,7 @@
-"""Structured logging on structlog: one event name per kind of happening, its facts as fields.
+"""Structured logging with structlog: each kind of event has a name, and its details are fields.
 
-A kind that floods is held to so many lines a second; the next line that passes says how many were left out. Secrets,
-tokens, prompts and answers never become fields.
+The number of lines per second is limited for each event name; the next line that passes reports in `left_out` how
+many were dropped. Secrets, tokens, prompts and answers must never be passed as fields.
 """
 
 from __future__ import annotations
@@ -16,46 +16,47 @@
 import structlog
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-WARNINGS = frozenset({"log_full", "evicted", "link_dead", "final_not_fetched", "crowded_out"})
-DEBUG = frozenset({"superseded", "attached"})
-SECRETS = ("token", "secret", "authorization", "key")
+WARNING_EVENTS = frozenset({"log_full", "evicted", "link_dead", "final_not_fetched", "crowded_out"})
+DEBUG_EVENTS = frozenset({"superseded", "attached"})
+SECRET_FIELDS = ("token", "secret", "authorization", "key")
 
 
-class Flood:
-    """A processor: so many lines of a kind in any second (a window of one second each)."""
+class RateLimit:
+    """A structlog processor that limits the lines of each event name in every window of one second."""
 
-    def __init__(self, most: float, clock: Callable[[], float] = time.monotonic) -> None:
-        self.most, self.clock = most, clock
-        self.windows: dict[str, tuple[float, int, int]] = {}  # kind -> window, lines in it, lines left out
+    def __init__(self, lines_per_second: float, clock: Callable[[], float] = time.monotonic) -> None:
+        self.lines_per_second, self.clock = lines_per_second, clock  # 0: no limit
+        self.windows: dict[str, tuple[float, int, int]] = {}  # event name: start of the window, lines, lines left out
 
     def __call__(self, logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        if not self.most:
+        if not self.lines_per_second:
             return event
-        kind, now = str(event.get("event")), self.clock()
-        since, lines, left_out = self.windows.get(kind, (now, 0, 0))
+        name, now = str(event.get("event")), self.clock()
+        since, lines, left_out = self.windows.get(name, (now, 0, 0))
         if now - since >= 1.0:
             since, lines = now, 0
-        if lines >= self.most:
-            self.windows[kind] = since, lines, left_out + 1
+        if lines >= self.lines_per_second:
+            self.windows[name] = since, lines, left_out + 1
             raise structlog.DropEvent
         if left_out:
             event["left_out"] = left_out
-        self.windows[kind] = since, lines + 1, 0
+        self.windows[name] = since, lines + 1, 0
         return event
 
 
 def hide_secrets(logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """A net under the rule that none is ever logged."""
-    for key in SECRETS:
+    """A processor that masks secrets, as a safeguard: callers must not log them in the first place."""
+    for key in SECRET_FIELDS:
         if key in event:
             event[key] = "(hidden)"
     return event
 
 
-def make_note(
-    form: str = "json", level: str = "info", flood: float = 50.0, out: TextIO | None = None
+def make_logger(
+    form: str = "json", level: str = "info", lines_per_second: float = 50.0, out: TextIO | None = None
 ) -> Callable[..., None]:
-    """`note(event, **fields)`. `form`: json, console or off."""
+    """Returns a function `log(event, **fields)`. `form` is "json", "console" or "off"; `lines_per_second` limits each
+    event name, 0 for no limit."""
     if form == "off":
         return lambda event, **fields: None
     renderer: Any = structlog.dev.ConsoleRenderer(colors=(out or sys.stderr).isatty())
@@ -68,19 +69,19 @@
         processors=[
             structlog.processors.add_log_level,
             hide_secrets,
-            Flood(flood),
+            RateLimit(lines_per_second),
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
     )
 
-    def note(event: str, **fields: object) -> None:
-        if event in WARNINGS:
+    def log(event: str, **fields: object) -> None:
+        if event in WARNING_EVENTS:
             logger.warning(event, **fields)
-        elif event in DEBUG:
+        elif event in DEBUG_EVENTS:
             logger.debug(event, **fields)
         else:
             logger.info(event, **fields)
 
-    return note
+    return log
--- a/pearstall/net/serve.py
+++ b/pearstall/net/serve.py
@@ -53,13 +53,10 @@
     return clients, free - clients
 
 
-
 class Surroundings:
     """What a program takes from the machine besides its loop's clock; a simulation brings its own."""
 
-    async def listen(
-        self, make: MakeProtocol, host: str, port: int, failed: Callable[[OSError], None]
-    ) -> Closable:
+    async def listen(self, make: MakeProtocol, host: str, port: int, failed: Callable[[OSError], None]) -> Closable:
         """An OSError where the place is taken."""
         return await open_listener(make, host, port, failed)
 
@@ -257,7 +254,6 @@
         if self.config.inventory is not None:
             self.cluster.load(self.config.inventory)
 
-
     def _adopt(self, found: Config, changed: Renumbering | None) -> None:
         """A configuration that was read whole and checked: nothing of it can fail any more."""
         self.config = found
@@ -290,7 +286,7 @@
     loop.add_signal_handler(signal.SIGINT, program.leave)
     loop.add_signal_handler(signal.SIGUSR1, program.print_counters)
     loop.add_signal_handler(signal.SIGHUP, program.reload)
-    signals.let_through()
+    signals.unblock()
     try:
         await program.start()
     except OSError as error:
--- a/pearstall/signals.py
+++ b/pearstall/signals.py
@@ -1,7 +1,7 @@
-"""The signals of a router process, from its first line until its event loop handles them.
+"""Blocks signals from the start of a router process until its event loop has handlers for them.
 
-A signal whose handler does not stand yet ends the process. Held back, it stays pending, so that a SIGHUP during the
-start is a reload after it.
+The default action of these signals ends the process. While they are blocked they stay pending, so that a SIGHUP that
+arrives during the start causes a reload after it.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 HANDLED = (signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1)
 
 
-def hold_back() -> None:
-    """Called before anything that takes time."""
+def block() -> None:
+    """Call this first, before any slow import or other work that takes time."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
 
 
-def let_through() -> None:
-    """Called once handlers stand; what came meanwhile is handled now."""
+def unblock() -> None:
+    """Call this once handlers are installed; pending signals are delivered now."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,7 @@
 
 from pearstall.cli.main import commands, main
 from pearstall.config.operators import read_keys
-from pearstall.logs import Flood, make_note
+from pearstall.logs import RateLimit, make_logger
 from tests.test_config import operators
 from tests.test_lists import config_file
 
@@ -147,12 +147,12 @@
 
 def test_a_flood_of_one_kind_is_held_and_counted_and_secrets_never_pass() -> None:
     out, now = io.StringIO(), [0.0]
-    note = make_note("json", "info", 0, out)
+    note = make_logger("json", "info", 0, out)
     note("final", ask="a", token="hush", key="hush")
     note("superseded", ask="a")  # below the level
     (line,) = out.getvalue().splitlines()
     assert json.loads(line)["ask"] == "a" and "hush" not in line
-    flood = Flood(3, lambda: now[0])
+    flood = RateLimit(3, lambda: now[0])
     import structlog
 
     def passes(kind: str) -> object:
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -1,4 +1,4 @@
-"""The router's log under a standard error that is full, failing or interrupted."""
+"""Tests of the event log with a standard error that is full, fails or is interrupted."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import pytest
 
-from pearstall.eventlog import LINES_PER_SECOND, MOST_PENDING_BYTES, DescriptorSink, EventLog
+from pearstall.eventlog import LINES_PER_SECOND, MAX_PENDING_BYTES, DescriptorSink, EventLog
 
 
 class FailingSink:
-    """Takes a few bytes at a time, and fails as its script says: an errno, or 0 for one that would block."""
+    """Accepts 7 bytes at a time after the failures in its script: an errno, or 0 for a write that would block."""
 
     def __init__(self, *script: int) -> None:
         self.script = list(script)
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(("number", "lost"), [(errno.EIO, 1), (errno.ENOSPC, 1), (errno.EPIPE, 1), (errno.EINTR, 0)])
-def test_a_failing_standard_error_raises_nothing_and_is_counted(number: int, lost: int) -> None:
+def test_a_failing_standard_error_raises_nothing_and_lost_lines_are_counted(number: int, lost: int) -> None:
     sink = FailingSink(number)
     log = EventLog(sink)
     log.event("first")
@@ -39,23 +39,23 @@
     assert [row["event"] for row in rows] == ["first", "second"][lost:]
 
 
-def test_a_full_pipe_does_not_block_and_keeps_a_bounded_rest() -> None:
+def test_a_full_pipe_does_not_block_and_the_buffer_is_bounded() -> None:
     reading, writing = os.pipe()
     try:
         log = EventLog(DescriptorSink(writing))
         for number in range(4000):
             log.line(f"{number} " + "x" * 200)
-        assert log.lost and len(log.pending) <= MOST_PENDING_BYTES
+        assert log.lost and len(log.pending) <= MAX_PENDING_BYTES
         first = os.read(reading, 1 << 20)
         assert first.startswith(b"0 xxx")
-        log.flush()  # what there is room for now
+        log.flush()  # fills the space that was freed in the pipe
         assert os.read(reading, 1 << 20)
     finally:
         os.close(reading)
         os.close(writing)
 
 
-def test_an_event_that_floods_is_held_to_a_rate_and_says_how_many_were_left_out() -> None:
+def test_the_rate_of_an_event_is_limited_and_dropped_lines_are_counted() -> None:
     now = [0.0]
     sink = FailingSink()
     log = EventLog(sink, clock=lambda: now[0])
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -2,11 +2,11 @@
 
 from pearstall.interface import Effect, Scope, Settings
 
-GOOD = {"classes": [{"aim": 1000, "give_up": 5000}]}
+VALID = {"classes": [{"aim": 1000, "give_up": 5000}]}
 
 
 def test_defaults_and_unknown_keys() -> None:
-    settings = Settings.from_mapping({**GOOD, "brand_new": 7})
+    settings = Settings.from_mapping({**VALID, "unknown_key": 7})
     assert settings.classes[0].effect == Effect.PURE
     assert settings.max_attempts == 3
 
@@ -33,17 +33,17 @@
         ({"tenant_shares": [0.5, -1.0]}, "tenant_shares"),
     ],
 )
-def test_a_bad_setting_is_named(change: dict[str, object], key: str) -> None:
+def test_the_error_for_an_invalid_setting_begins_with_its_key(change: dict[str, object], key: str) -> None:
     with pytest.raises(ValueError) as error:
-        Settings.from_mapping({**GOOD, **change})
+        Settings.from_mapping({**VALID, **change})
     assert str(error.value).startswith(key + ":")
 
 
-def test_settings_are_a_mapping() -> None:
+def test_settings_must_be_a_mapping() -> None:
     with pytest.raises(ValueError, match="settings"):
         Settings.from_mapping([])  # type: ignore[arg-type]
 
 
-def test_scope_names() -> None:
+def test_a_scope_is_given_by_its_name_in_lower_case() -> None:
     row = {"aim": 5, "give_up": 5, "effect": "token", "scope": "cell"}
     assert Settings.from_mapping({"classes": [row]}).classes[0].scope == Scope.CELL
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,9 +6,9 @@
 
 def test_the_library_example_runs() -> None:
     (example,) = re.findall(r"```python\n(.*?)```", README, re.DOTALL)
-    names: dict[str, object] = {}
-    exec(example, names)
-    assert names["done"] == [] and names["send"].replica in (7, 8)  # type: ignore[attr-defined]
+    namespace: dict[str, object] = {}
+    exec(example, namespace)
+    assert namespace["done"] == [] and namespace["send"].replica in (7, 8)  # type: ignore[attr-defined]
 
 
 def test_ci_runs_the_test_command() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""1,024 routers in the settings, 1,024 model servers on the list, half of them replaced: all is taken and used."""
+"""Tests the largest fleet: 1,024 routers in the settings, 1,024 model servers in the list, half of them replaced."""
 
 from __future__ import annotations
 
@@ -16,8 +16,13 @@
 from tests.support import MS, START, Gateway, S, entry, of, refused, settings
 from tests.test_lists import Discovery, message
 
-MANY = 1024
-FLEET: dict[str, Any] = {"gateways": MANY, "subscribe": True, "must_ask_in": 10 * S, "quota_rate": 3.0 * MANY}
+FLEET_SIZE = 1024
+FLEET: dict[str, Any] = {
+    "gateways": FLEET_SIZE,
+    "subscribe": True,
+    "must_ask_in": 10 * S,
+    "quota_rate": 3.0 * FLEET_SIZE,
+}
 
 
 def endpoint(number: int, port: int, **changes: Any) -> dict[str, Any]:
@@ -26,31 +31,31 @@
 
 
 @pytest.mark.parametrize("polled", [False, True])
-def test_a_list_of_so_many_is_taken_whole_and_half_of_it_replaced(polled: bool, tmp_path: Path) -> None:
-    """Its line is longer than a read buffer and comes in pieces; what changes comes by the watch, or by the whole
-    list of the next one after the first was cut off."""
+def test_a_list_of_1024_servers_is_read_completely_and_half_of_it_replaced(polled: bool, tmp_path: Path) -> None:
+    """The line with the list is longer than a read buffer and arrives in pieces. Changes arrive on the watch, or, if
+    the watch is cut off, as the complete list of the next one."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
             server = await stack.enter_async_context(ModelServer("platform").listening())
-            old = [endpoint(n, server.port) for n in range(MANY)]
-            new = [endpoint(n + MANY, server.port, since_ms=5000) for n in range(MANY // 2)]
-            gone = [one | {"status": "gone"} for one in old[: MANY // 2]]
+            old = [endpoint(n, server.port) for n in range(FLEET_SIZE)]
+            new = [endpoint(n + FLEET_SIZE, server.port, since_ms=5000) for n in range(FLEET_SIZE // 2)]
+            gone = [one | {"status": "gone"} for one in old[: FLEET_SIZE // 2]]
             if polled:
-                scripts = [[message(*old), b"wait", b"end"], [message(*old[MANY // 2 :], *new, index=9)]]
+                scripts = [[message(*old), b"wait", b"end"], [message(*old[FLEET_SIZE // 2 :], *new, index=9)]]
             else:
                 scripts = [[message(*old), b"wait", message(*gone, *new, index=9, snapshot=False)]]
             discovery = Discovery(*scripts)
             listener = await asyncio.start_server(discovery.link, LOCAL, 0)
             port = listener.sockets[0].getsockname()[1]
-            made = setup(groupSize=MANY)
+            made = setup(groupSize=FLEET_SIZE)
             program, ports = await stack.enter_async_context(running(tmp_path, [], discovery=port, settings=made))
-            await until(lambda: len(program.cluster.addresses) == MANY)
+            await until(lambda: len(program.cluster.addresses) == FLEET_SIZE)
             discovery.more.set()
             await until(lambda: program.cluster.index == 9)
-            names = {one.id for one in program.core.router.replicas.values() if one.ready}
-            assert len(names) == len(program.cluster.addresses) == MANY
-            assert sum(one.started > 0 for one in program.core.router.replicas.values()) == MANY // 2
+            ready = {replica.id for replica in program.core.router.replicas.values() if replica.ready}
+            assert len(ready) == len(program.cluster.addresses) == FLEET_SIZE
+            assert sum(replica.started > 0 for replica in program.core.router.replicas.values()) == FLEET_SIZE // 2
             client = Client("platform", ports["platform"])
             assert (await client.ask())[0] == "served"
             client.close()
@@ -59,36 +64,37 @@
     asyncio.run(scene())
 
 
-def test_picks_reach_all_of_so_many() -> None:
-    gateway = Gateway(settings(**FLEET | {"subscribe": False}), [entry(n) for n in range(MANY)], seed=1)
-    met: Counter[int] = Counter()
-    for number in range(8 * MANY):
-        met[gateway.serve(session=number + 1)] += 1
+def test_requests_reach_all_of_1024_replicas() -> None:
+    gateway = Gateway(settings(**FLEET | {"subscribe": False}), [entry(n) for n in range(FLEET_SIZE)], seed=1)
+    counts: Counter[int] = Counter()
+    for number in range(8 * FLEET_SIZE):
+        counts[gateway.serve(session=number + 1)] += 1
         gateway.wait(5 * MS)
-    assert len(met) > 0.99 * MANY and max(met.values()) < 60
+    assert len(counts) > 0.99 * FLEET_SIZE and max(counts.values()) < 60
 
 
-def test_a_drain_of_half_of_them_acts_at_once_and_new_ones_are_met() -> None:
-    gateway = Gateway(settings(**FLEET | {"subscribe": False}), [entry(n) for n in range(MANY)], seed=1)
-    gateway.deliver_list(ListKind.DELTA, *[entry(n, state=State.DRAINING) for n in range(MANY // 2)])
-    fresh = [entry(MANY + n, started=START - S) for n in range(MANY // 2)]
+def test_draining_half_of_the_replicas_acts_at_once_and_new_ones_are_used() -> None:
+    gateway = Gateway(settings(**FLEET | {"subscribe": False}), [entry(n) for n in range(FLEET_SIZE)], seed=1)
+    gateway.deliver_list(ListKind.DELTA, *[entry(n, state=State.DRAINING) for n in range(FLEET_SIZE // 2)])
+    fresh = [entry(FLEET_SIZE + n, started=START - S) for n in range(FLEET_SIZE // 2)]
     gateway.deliver_list(ListKind.DELTA, *fresh)
-    met: Counter[int] = Counter()
-    for number in range(2 * MANY):
+    counts: Counter[int] = Counter()
+    for number in range(2 * FLEET_SIZE):
         id, actions = gateway.request(session=number + 1, prompt_tokens=200.0)
         if not refused(actions):
-            met[gateway.sent(id)] += 1
+            counts[gateway.sent(id)] += 1
             gateway.first_token(id)
             gateway.outcome(id, Result.OK)
         gateway.wait(20 * MS)
-    assert not any(one < MANY // 2 for one in met)
-    assert sum(one >= MANY for one in met) > 100
+    assert not any(replica < FLEET_SIZE // 2 for replica in counts)
+    assert sum(replica >= FLEET_SIZE for replica in counts) > 100
 
 
-def test_so_many_routers_ask_before_what_the_list_holds_counts_as_told() -> None:
-    """Spread by their number alone the last of 230 first asked after 11 s, of 1,024 after 51 s, and later after 9 s.
-    Drains count as told after 6 s, and each send to such a server breaks the rule."""
-    for gateways in (40, 230, MANY):
+def test_routers_make_their_first_call_before_a_drain_counts_as_delivered() -> None:
+    """A drain counts as delivered after 6 s; from then on, sending to that server violates the rule. When the delay
+    of the first call grew with the number of routers, the last of 230 made it after 11 s, and the last of 1,024 after
+    51 s; in a later version it was 9 s."""
+    for gateways in (40, 230, FLEET_SIZE):
         made = settings(gateways=gateways, subscribe=True, must_ask_in=10 * S)
         delays = [timer.delay for seed in range(200) for timer in of(SetTimer, Router(made, seed).start(0))]
         assert max(delays) < 4.5 * S and max(delays) > 1.4 * S
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What all gateways together send to a starting server stays within its budget, however many they are."""
+"""Tests that all gateways together, however many, stay within the budget of a server that has just started."""
 
 from __future__ import annotations
 
@@ -34,16 +34,17 @@
     return World(traffic, faults, routers=routers, servers=16, rate=60.0, seconds=14, cold=cold, seed=seed, **rules)
 
 
-def most_calls(budget: float) -> float:
-    """`budget`: the calls that the settings allow a server in the time to fall; chance comes on top."""
+def attempt_limit(budget: float) -> float:
+    """The highest acceptable number of attempts to a server in TIP_TIME: the `budget` that the settings allow, and a
+    margin for chance."""
     root = math.sqrt(budget)
     return budget + (2 * root + 2 if budget >= 30 else 3 * root + 3)
 
 
-def fullest_span(server: Server, quota: float) -> float:
-    """The most calls in any span of the time to fall while it was cold, as a part of what it may get."""
+def peak_load(server: Server, quota: float) -> float:
+    """The most attempts in any interval of TIP_TIME while the server was cold, as a fraction of `attempt_limit`."""
     times = [at for at, _ in server.sends]
-    fullest, first = 0.0, 0
+    peak, first = 0.0, 0
     for last, at in enumerate(times):
         age = at - server.started
         if age > COLD_TIME:
@@ -52,42 +53,42 @@
             first += 1
         capacity = COLD_SHARE + (1 - COLD_SHARE) * age / COLD_TIME
         budget = TIP_MULTIPLE * quota * capacity * TIP_TIME / S
-        fullest = max(fullest, (last - first + 1) / most_calls(budget))
-    return fullest
+        peak = max(peak, (last - first + 1) / attempt_limit(budget))
+    return peak
 
 
 @pytest.mark.parametrize("routers", [1, 4, 30, 200, 1024])
-@pytest.mark.parametrize("day", ["burst beside hangs", "replaced and restarted"])
-def test_no_starting_server_gets_more_than_its_budget_from_all_gateways(routers: int, day: str) -> None:
-    """In a burst while half of the servers hung, 200 gateways sent one 42 calls in two seconds where 31 are allowed,
-    and 1,024 of them 45 of 37: each took the most it had ever sent in an interval, of one or two requests, for what
-    warm servers bear."""
-    if day == "burst beside hangs":
-        played = world(routers, Fault("hang", 4, 8, 0.5), Fault("burst", 4, 8, factor=3.0), cold=0.4)
+@pytest.mark.parametrize("case", ["burst beside hangs", "replaced and restarted"])
+def test_no_starting_server_gets_more_than_its_budget_from_all_gateways(routers: int, case: str) -> None:
+    """In a burst while half of the servers hung, 200 gateways sent one server 42 attempts in two seconds where 31 are
+    allowed, and 1,024 gateways sent 45 where 37 are allowed. Each gateway estimated the load that warm servers can
+    sustain by the most that it had ever sent in an interval of only one or two requests."""
+    if case == "burst beside hangs":
+        simulated = world(routers, Fault("hang", 4, 8, 0.5), Fault("burst", 4, 8, factor=3.0), cold=0.4)
     else:
-        played = world(routers, Fault("replace", 4, 4, 0.6), Fault("restart", 5, 4, 0.6))
-    played.play()
-    quota = played.settings[0].quota_rate / len(played.servers)
-    cold = [server for server in played.servers.values() if server.started]
-    assert cold and max(fullest_span(server, quota) for server in cold) <= 1.0
+        simulated = world(routers, Fault("replace", 4, 4, 0.6), Fault("restart", 5, 4, 0.6))
+    simulated.run()
+    quota = simulated.settings[0].quota_rate / len(simulated.servers)
+    cold = [server for server in simulated.servers.values() if server.started]
+    assert cold and max(peak_load(server, quota) for server in cold) <= 1.0
 
 
 @pytest.mark.parametrize("routers", [1, 4, 30, 200, 1024])
 def test_a_fleet_that_has_just_started_serves_all_the_same(routers: int) -> None:
-    played = world(routers, cold=1.0)
-    shares = [tally.share() for tally in played.play()]
+    simulated = world(routers, cold=1.0)
+    shares = [tally.share() for tally in simulated.run()]
     assert min(shares) > 0.15 and max(shares) > 0.3
-    quota = played.settings[0].quota_rate / len(played.servers)
-    assert max(fullest_span(server, quota) for server in played.servers.values()) <= 1.0
+    quota = simulated.settings[0].quota_rate / len(simulated.servers)
+    assert max(peak_load(server, quota) for server in simulated.servers.values()) <= 1.0
 
 
 @pytest.mark.parametrize(("routers", "worlds"), [(1, 6), (4, 6), (30, 6), (200, 3)])
 def test_fleets_that_have_just_started_serve_all_classes_in_the_mean(routers: int, worlds: int) -> None:
     shares: list[list[float]] = []
     for seed in range(1, worlds + 1):
-        played = world(routers, cold=1.0, seed=seed)
-        shares.append([tally.share() for tally in played.play()])
-        quota = played.settings[0].quota_rate / len(played.servers)
-        assert max(fullest_span(server, quota) for server in played.servers.values()) <= 1.0
+        simulated = world(routers, cold=1.0, seed=seed)
+        shares.append([tally.share() for tally in simulated.run()])
+        quota = simulated.settings[0].quota_rate / len(simulated.servers)
+        assert max(peak_load(server, quota) for server in simulated.servers.values()) <= 1.0
     means = [mean(column) for column in zip(*shares, strict=True)]
     assert min(means) > 0.15 and max(means) > 0.3, shares
