--- a/pearstall/__main__.py
+++ b/pearstall/__main__.py
@@ -57,7 +57,7 @@
         try:
             return read()
         except ConfigError as error:
-            if not error.passing:
+            if not error.transient:
                 raise
             time.sleep(READ_RETRY_SECONDS)
     return read()
--- a/pearstall/cli/check.py
+++ b/pearstall/cli/check.py
@@ -10,7 +10,7 @@
 
 from pearstall.config.kdl import Place, Trouble, Unreadable
 from pearstall.config.operators import read_operators
-from pearstall.net.config import ConfigError, Names, Raw, read_config
+from pearstall.net.config import ConfigError, Names, RawConfig, read_config
 from pearstall.net.inventory import HostList, read_inventory
 
 
@@ -68,7 +68,7 @@
     except OSError:
         return place
     try:
-        msgspec.json.decode(data, type=Raw)
+        msgspec.json.decode(data, type=RawConfig)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         _, _, byte = str(error).rpartition("byte ")
         if byte.rstrip(")").isdigit():
--- a/pearstall/lab/world.py
+++ b/pearstall/lab/world.py
@@ -30,7 +30,7 @@
 from pearstall.lab.stations import Answer, Ask, ClientEnd, Discovery, ModelServer
 from pearstall.net.config import Config, Limits, Names
 from pearstall.net.inventory import HostList
-from pearstall.net.serve import Program, Surroundings
+from pearstall.net.serve import Program, System
 from pearstall.settings import settings_from_wire
 
 PORT, DISCOVERY = 7070, ("discovery", 8500)
@@ -161,7 +161,7 @@
     device_waits: list[float] = field(default_factory=list)  # until the final record is held
 
 
-class _Around(Surroundings):
+class _Around(System):
     def __init__(self, loop: VirtualLoop | LoopbackLoop, random: Random) -> None:
         self.loop, self.random = loop, random
         self.skew = 0.0
--- a/pearstall/models/attempt.py
+++ b/pearstall/models/attempt.py
@@ -256,7 +256,7 @@
             run = asked.live()
             if run is None:
                 continue
-            if run.started:
+            if run.streaming:
                 if asked.made.get(run.number, 0) < self.most_events:
                     out.append(f"event {name}")
                 out += [f"end {name}", f"reset {name}"]
@@ -294,7 +294,7 @@
                 self.hurried = True
                 self.core.hurry(True, self.clock.now)
             elif kind == "move":
-                self.core.move()
+                self.core.move_streams()
             elif kind == "ask":
                 self._ask(self.asked[int(rest[1:])])
             else:
@@ -321,10 +321,10 @@
         assert run is not None
         if kind == "event":
             at = asked.made[run.number] = asked.made.get(run.number, 0) + 1
-            self.core.passed(run, b"%d.%d" % (run.number, at))
+            self.core.received(run, b"%d.%d" % (run.number, at))
             return
         asked.carriers[asked.runs.index(run)].done = True
-        reach = Reach.ANSWERING if run.started else Reach.FULLY_WRITTEN
+        reach = Reach.ANSWERING if run.streaming else Reach.FULLY_WRITTEN
         end: Any = {
             "end": Served(),
             "reset": Broken(reach, "reset"),
@@ -352,11 +352,11 @@
                 asked.left,
                 tuple(asked.kept),
                 tuple(
-                    (run.replica, run.started, run.ended, carrier.given_up, asked.made.get(run.number, 0))
+                    (run.replica, run.streaming, run.ended, carrier.given_up, asked.made.get(run.number, 0))
                     for run, carrier in zip(asked.runs, asked.carriers, strict=True)
                 ),
                 round((asked.query.deadline - now) * 1e6) if asked.query is not None and not asked.over else 0,
-                asked.query.out if asked.query is not None else 0,
+                asked.query.in_flight if asked.query is not None else 0,
             )
             for asked in self.asked
         ]
@@ -398,7 +398,7 @@
             if asked.said and asked.left:
                 out.append(f"one-final: {name} has gone, and was told {asked.said[0]}")
             live_run = asked.live()
-            begun = bool(asked.events) or (live_run is not None and live_run.started)
+            begun = bool(asked.events) or (live_run is not None and live_run.streaming)
             if not asked.over and not begun and now > query.deadline + LATE:
                 out.append(f"in-time: {name} waits {now - query.deadline:.3f} s past its deadline")
             made = list(asked.events)
@@ -414,8 +414,8 @@
                 out.append(f"let-go: {name} is over, and {open} of its links are open")
             if open > self.most_out:
                 out.append(f"never-two-out: {name} has {open} links open")
-            if query.out != live:
-                out.append(f"books: {name} has {live} out, and the core counts {query.out}")
+            if query.in_flight != live:
+                out.append(f"books: {name} has {live} out, and the core counts {query.in_flight}")
             call = router.pending.get(asked.handle)
             known = call.in_flight if call is not None else 0
             if known != live:
--- a/pearstall/models/listing.py
+++ b/pearstall/models/listing.py
@@ -173,7 +173,7 @@
                 asked = self.asked[int(rest[1:])]
                 asked.carriers[asked.runs.index(run)].done = True
                 if kind == "end":
-                    self.core.passed(run, b"%d.1" % run.number)
+                    self.core.received(run, b"%d.1" % run.number)
                     self.core.ended(run, Served())
                 else:
                     self.core.ended(run, Broken(Reach.FULLY_WRITTEN, "reset"))
--- a/pearstall/models/mutants.py
+++ b/pearstall/models/mutants.py
@@ -50,18 +50,24 @@
         "one",
         3,
     ),
-    Mutant("the id isn't freed", C + "_forget", "self.open_ids.discard(query.txn)", "pass", "attempt", "one", 3),
+    Mutant("the id isn't freed", C + "_release", "self.open_ids.discard(query.txn)", "pass", "attempt", "one", 3),
     Mutant(
         "the Router isn't told of a client that left",
         C + "client_gone",
-        "self.tell(ClientGone(handle))",
+        "self.dispatch(ClientGone(handle))",
         "pass",
         "attempt",
         "one",
         3,
     ),
     Mutant(
-        "an end is told after it was forgotten", C + "_ended", "query.out -= 1", "query.out -= 0", "attempt", "one", 3
+        "an end is told after it was forgotten",
+        C + "_end_execution",
+        "query.in_flight -= 1",
+        "query.in_flight -= 0",
+        "attempt",
+        "one",
+        3,
     ),
     Mutant(
         "a broken answer is finished",
@@ -74,8 +80,8 @@
     ),
     Mutant(
         "a part of an answer passes for none",
-        C + "passed",
-        "query.passed = True\n            query.body",
+        C + "received",
+        "query.forwarded = True\n            query.body",
         "query.body",
         "attempt",
         "one",
@@ -83,7 +89,7 @@
     ),
     Mutant(
         "the guard stays armed behind a first event",
-        C + "passed",
+        C + "received",
         "query.guard.cancel()",
         "pass",
         "attempt",
@@ -92,7 +98,7 @@
     ),
     Mutant(
         "the time-out of a begun stream stays armed",
-        C + "passed",
+        C + "received",
         "execution.timeout.cancel()\n        self._watch_stream(execution)",
         "pass",
         "attempt",
@@ -102,7 +108,7 @@
     Mutant(
         "blame doesn't end the query",
         C + "ended",
-        "query.over = True\n            answer.blame(end)",
+        "query.finished = True\n            answer.blame(end)",
         "answer.blame(end)",
         "attempt",
         "one",
@@ -111,7 +117,7 @@
     Mutant(
         "hurry answers and lets the execution run",
         C + "hurry",
-        "self.tell(ClientGone(query.handle))",
+        "self.dispatch(ClientGone(query.handle))",
         "pass",
         "attempt",
         "one",
@@ -189,8 +195,8 @@
     Mutant(
         "the index held is one ahead",
         G + "take",
-        "self.index = news.index",
-        "self.index = news.index + 1",
+        "self.index = update.index",
+        "self.index = update.index + 1",
         "list",
         "broken watch",
         4,
--- a/pearstall/net/cluster.py
+++ b/pearstall/net/cluster.py
@@ -1,4 +1,4 @@
-"""The cluster: the list of model servers, from discovery's watch or an inventory, told to the Router."""
+"""The list of model servers, read from discovery's watch or an inventory and passed on to the Router."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
 if TYPE_CHECKING:
     from pearstall.net.subset import Subset
 
-SILENCE = 2.5  # a watch sends a line every 2 s; without one for so long, or without an answer, it is dead
-LARGEST_LINE = 8 << 20
-MOST_NAMES_LOGGED = 32
+WATCH_SILENCE_SECONDS = 2.5  # discovery sends a line every 2 s; a watch without one for this long has failed
+MAX_MESSAGE_BYTES = 8 << 20
+MAX_LOGGED_NAMES = 32
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 
 
 class Cluster:
-    """`now`: Unix time, in seconds; it may be stepped, and tells only how long ago a server started."""
+    """The known model servers. `now`: Unix time in seconds; it may be stepped, and is used only for the age of a
+    server's start."""
 
     def __init__(
         self,
@@ -50,60 +51,60 @@
         self.types: dict[int, str] = {}
         self.draining: set[int] = set()
         self.index = -1
-        self.starts = StartTimes(core.clock, now)
+        self.start_times = StartTimes(core.clock, now)
         self.watch: WatchLink | None = None
-        self.told: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
 
-    def take(self, news: HostList, kind: int) -> None:
-        if kind == ListKind.DELTA and 0 <= news.index < self.index:
-            # Changes older than the list held would undo newer ones: a server that drains would seem ready again.
-            news = HostList([], self.index, False, news.skipped + len(news.hosts))
-        self.core.counters.list_entries_skipped += news.skipped
+    def take(self, update: HostList, kind: int) -> None:
+        if kind == ListKind.DELTA and 0 <= update.index < self.index:
+            # Changes older than the current list would undo newer ones: a draining server would appear ready again.
+            update = HostList([], self.index, False, update.skipped + len(update.hosts))
+        self.core.counters.list_entries_skipped += update.skipped
         if self.subset is not None:
-            news = self.subset.take(news, kind != ListKind.DELTA)
-        if news.index >= 0:
-            self.index = news.index
+            update = self.subset.take(update, kind != ListKind.DELTA)
+        if update.index >= 0:
+            self.index = update.index
         if kind != ListKind.DELTA:
             self.addresses, self.types, self.names, self.draining = {}, {}, {}, set()
-        replicas = [self._replica(host) for host in news.hosts]
+        replicas = [self._replica(host) for host in update.hosts]
         if not (kind == ListKind.DELTA and not replicas):
             self.core.listed(ReplicaList(kind, replicas))
         else:
-            self.core.tell(ReplicaList(kind, replicas))
+            self.core.dispatch(ReplicaList(kind, replicas))
         if kind != ListKind.CACHED:
-            self.starts.heard()
-        self._log_list(news, kind)
-        self.told()
+            self.start_times.confirm_list()
+        self._log_list(update, kind)
+        self.on_change()
 
-    def _log_list(self, news: HostList, kind: int) -> None:
+    def _log_list(self, update: HostList, kind: int) -> None:
         if self.core.log.enabled:
-            states = {state: [host.name for host in news.hosts if host.status == state] for state in STATES}
+            states = {state: [host.name for host in update.hosts if host.status == state] for state in STATES}
             self.core.log.event(
                 "server_list",
                 kind=ListKind(kind).name.lower(),
-                index=news.index,
+                index=update.index,
                 servers=len(self.addresses),
                 ready=len(states["ready"]),
-                draining=states["draining"][:MOST_NAMES_LOGGED],
-                gone=states["gone"][:MOST_NAMES_LOGGED],
-                skipped=news.skipped,
+                draining=states["draining"][:MAX_LOGGED_NAMES],
+                gone=states["gone"][:MAX_LOGGED_NAMES],
+                skipped=update.skipped,
             )
 
     def _replica(self, host: Host) -> Replica:
         id = number_of(host.name)
-        where = split_address(host.address)
+        address = split_address(host.address)
         self.names[id] = host.name
         self.draining.discard(id)
         if host.status == "draining":
             self.draining.add(id)
-        if host.status == "gone" or where is None:
+        if host.status == "gone" or address is None:
             self.addresses.pop(id, None)
             self.types.pop(id, None)
             self.names.pop(id, None)
         else:
-            self.addresses[id] = where
+            self.addresses[id] = address
             self.types[id] = host.type
-        started = self.starts.started(id, host.since_ms)
+        started = self.start_times.started(id, host.since_ms)
         return Replica(
             id,
             self.zones.get(host.zone, len(self.zones)),
@@ -117,7 +118,7 @@
     # -- discovery -----------------------------------------------------------------------------------------
 
     def subscribe(self, on: bool) -> None:
-        """The Router asks for the watch. It times its own tries, so that none come too often."""
+        """Opens or closes the watch as the Router requests. The Router limits how often it asks."""
         if self.watch is not None:
             old, self.watch = self.watch, None
             old.close()
@@ -125,59 +126,59 @@
             self.watch = WatchLink(self, self.discovery)
             self.watch.start()
 
-    def follow(self, discovery: tuple[str, int] | None) -> None:
-        """Discovery has another address. The index held is the old one's, so the whole list is asked for:
-        a delta counted from there might leave out what changed meanwhile."""
+    def change_discovery(self, discovery: tuple[str, int] | None) -> None:
+        """Switches to discovery at another address. The current index belongs to the old one, so the whole list is
+        requested: a delta from that index might omit changes."""
         if discovery != self.discovery and discovery is not None:
             self.discovery = discovery
             self.index = -1
             self.subscribe(True)
 
-    def failed(self, watch: WatchLink, why: str) -> None:
+    def watch_failed(self, watch: WatchLink, why: str) -> None:
         if watch is self.watch:
             self.watch = None
             self.core.log.event("watch_ended", why=why, lines=watch.lines_read, silent_ms=watch.silent_ms)
             self.core.listed(ReplicaList(ListKind.FAILED))
-            self.told()
+            self.on_change()
 
-    # -- an inventory in its place -------------------------------------------------------------------------
+    # -- inventory ----------------------------------------------------------------------------------------
 
     def load(self, path: Path) -> None:
-        found = read_inventory(path)
-        if isinstance(found, BadList):
+        hosts = read_inventory(path)
+        if isinstance(hosts, BadList):
             self.core.counters.list_failures += 1
-            self.core.log.event("inventory_unreadable", why=found.why)
+            self.core.log.event("inventory_unreadable", why=hosts.why)
         else:
-            self.take(found, ListKind.FULL)
+            self.take(hosts, ListKind.FULL)
 
 
 class WatchLink(asyncio.BufferedProtocol):
-    """One watch, from its request until its connection ends."""
+    """The connection of one watch, from its request to its end."""
 
     def __init__(self, cluster: Cluster, address: tuple[str, int]) -> None:
         self.cluster = cluster
         self.address = address
         self.buffer = Buffer()
         self.lines = Buffer()
-        self.unfinished = b""  # the first lines of a message that comes over several
-        self.indent = 0  # of the first of them
+        self.partial_message = b""  # the lines so far of a message that spans several lines
+        self.first_indent = 0  # indentation of that message's first line
         self.body: Body | None = None
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.deadline: Deadline | None = None
         self.closed = False
         self.lines_read = 0
-        self.answered = False  # with a list, or with what changed since the index asked for
-        self.heard_at = 0.0
+        self.received_list = False  # a whole list, or the changes since the index in the request
+        self.last_line_at = 0.0
 
     @property
     def silent_ms(self) -> int:
-        """Since the last line, or since the call."""
-        return round((self.cluster.core.clock() - self.heard_at) * 1000)
+        """Milliseconds since the last line or, before the first, since the request."""
+        return round((self.cluster.core.clock() - self.last_line_at) * 1000)
 
     def start(self) -> None:
         self.cluster.core.log.event("watch_called", discovery=self.address, index=self.cluster.index)
-        self._heard()
+        self._restart_timeout()
         self.connecting = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
@@ -194,9 +195,7 @@
             return
         after = f"&index={self.cluster.index}" if self.cluster.index >= 0 else ""
         host, port = self.address
-        transport.write(
-            f"GET /catalog/members?stream=1{after} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
-        )
+        transport.write(f"GET /catalog/members?stream=1{after} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.buffer.room()
@@ -208,13 +207,13 @@
         try:
             if not self._read():
                 self.fail("what came is no list, or it has ended")
-        except Exception as error:  # stops here: the list held stays
+        except Exception as error:  # ends this watch only: the current list stays
             self.cluster.core.counters.exceptions += 1
             log_exception(self.cluster.core.log, error)
             self.fail("exception")
 
     def _read(self) -> bool:
-        """False: what came is no watch, or it has ended."""
+        """False if the response is invalid or has ended."""
         while self.body is None:
             head = read_head(self.buffer, response=True)
             if head is None:
@@ -233,40 +232,42 @@
         while (end := self.lines.find(b"\n")) >= 0:
             line = self.lines.take(end + 1)
             self.lines_read += 1
-            self._heard()
-            if self.answered and not line.strip():
-                self.cluster.starts.heard()  # nothing has changed
+            self._restart_timeout()
+            if self.received_list and not line.strip():
+                self.cluster.start_times.confirm_list()  # an empty line: the list has not changed
             if not self._take_line(line):
-                return False  # what it said is lost: the next watch asks for it from the index held
+                return False  # the message is lost; the next watch requests it again by index
             if self.closed:
                 return True
-        return len(self.lines) <= LARGEST_LINE and not self.body.done
+        return len(self.lines) <= MAX_MESSAGE_BYTES and not self.body.done
 
     def _take_line(self, line: bytes) -> bool:
-        """A message, or a part of one; False: neither."""
+        """Reads a line that is a message or part of one. False if it is neither."""
         if not line.strip():
-            return not self.unfinished  # nothing comes between the lines of one message
+            return not self.partial_message  # an empty line must not interrupt a message
         indent = len(line) - len(line.lstrip())
-        if not self.unfinished:
-            self.indent = indent
+        if not self.partial_message:
+            self.first_indent = indent
             if line[indent : indent + 1] != b"{":
                 return False
-        self.unfinished += line
-        if indent > self.indent or not line.rstrip().endswith(b"}"):  # it ends where it began, with a brace
-            return len(self.unfinished) <= LARGEST_LINE
-        news = read_host_list(self.unfinished)
-        if isinstance(news, BadList):
+        self.partial_message += line
+        if indent > self.first_indent or not line.rstrip().endswith(
+            b"}"
+        ):  # the last line is a closing brace, indented as the first line
+            return len(self.partial_message) <= MAX_MESSAGE_BYTES
+        update = read_host_list(self.partial_message)
+        if isinstance(update, BadList):
             return False
-        self.unfinished = b""
-        self.answered = True
-        self.cluster.take(news, ListKind.FULL if news.snapshot else ListKind.DELTA)
+        self.partial_message = b""
+        self.received_list = True
+        self.cluster.take(update, ListKind.FULL if update.snapshot else ListKind.DELTA)
         return True
 
-    def _heard(self) -> None:
+    def _restart_timeout(self) -> None:
         if self.deadline is not None:
             self.deadline.cancel()
-        self.heard_at = self.cluster.core.clock()
-        self.deadline = self.cluster.core.deadlines.after(SILENCE, partial(self.fail, "silent"))
+        self.last_line_at = self.cluster.core.clock()
+        self.deadline = self.cluster.core.deadlines.after(WATCH_SILENCE_SECONDS, partial(self.fail, "silent"))
 
     def eof_received(self) -> bool:
         return False
@@ -277,7 +278,7 @@
     def fail(self, why: str) -> None:
         if not self.closed:
             self.close()
-            self.cluster.failed(self, why)
+            self.cluster.watch_failed(self, why)
 
     def close(self) -> None:
         self.closed = True
--- a/pearstall/net/config.py
+++ b/pearstall/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one router, decoded with msgspec. A bad one is a ConfigError of one line."""
+"""The configuration of one router, decoded with msgspec. An invalid one raises a ConfigError with a one-line text."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     from pearstall.edge.settings import EdgeConfig
 
 T = TypeVar("T")
-PASSING_ERRORS = frozenset(
+TRANSIENT_ERRORS = frozenset(
     {errno.EIO, errno.EINTR, errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ESTALE, errno.ETIMEDOUT}
 )
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 
 
 class ConfigError(Exception):
-    """One line for people. `passing`: the file could not be read just now, and may be in a moment."""
+    """Its text is one line for operators. `transient`: reading the file may succeed if tried again."""
 
-    def __init__(self, text: str, passing: bool = False) -> None:
+    def __init__(self, text: str, transient: bool = False) -> None:
         super().__init__(text)
-        self.passing = passing
+        self.transient = transient
 
 
 class Named(msgspec.Struct):
@@ -44,11 +44,11 @@
 
 
 class Family(msgspec.Struct):
-    resume: bool = False  # clients ask for the rest of a stream that broke
+    resume: bool = False  # clients request the rest of a stream that broke
 
 
 class Names(msgspec.Struct):
-    """What the wire calls the classes, tenants, zones and kinds, in the order that gives them numbers."""
+    """The configuration's names of classes, tenants, zones and kinds, in the order of their numbers."""
 
     lanes: list[Named] = []
     accounts: list[Named] = []
@@ -65,34 +65,36 @@
 
 
 class OpenAIConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """The second front, from a file of the operators' own. `server_form`: openai or platform."""
+    """The OpenAI-style front, from the operators' file. `server_form`: openai or platform."""
 
     listen: str
     enabled: bool = True
     default_class: str = ""
     default_tenant: str = ""
-    session_from_user: bool = True  # where no header names the session, the body's `user` does
+    session_from_user: bool = True  # without a session header, the body's `user` identifies the session
     models: list[str] = []  # what /v1/models lists; empty: the models that `classes` names
     classes: dict[str, str] = {}  # model -> class
-    deadline_s: dict[str, Positive] = {}  # class -> wait for the first token; else the class's give-up time
+    deadline_s: dict[str, Positive] = {}  # class -> wait for the first token; default: the class's give_up
     tenants: dict[str, str] = {}  # API key -> tenant
-    idempotency: bool = True  # an Idempotency-Key is answered once, through the device sessions
+    idempotency: bool = True  # requests with one Idempotency-Key run once, through the device sessions
     server_form: str = "platform"
-    server_forms: dict[str, str] = {}  # host type -> form, where it is another
+    server_forms: dict[str, str] = {}  # host type -> form, where it differs from server_form
 
 
-class Raw(msgspec.Struct):
+class RawConfig(msgspec.Struct):
+    """The configuration file, before it is checked."""
+
     name: str = ""
     listen: str = ""
     discovery: str = ""
     seed: str | int = 0
     limits: Limits = msgspec.field(default_factory=Limits)
-    known: msgspec.Raw = msgspec.Raw(b"null")  # of another form: read entry by entry
+    known: msgspec.Raw = msgspec.Raw(b"null")  # decoded entry by entry
     settings: msgspec.Raw = msgspec.Raw(b"null")
 
 
 class Source(msgspec.Struct, frozen=True):
-    """Where a configuration was read, for reading it again."""
+    """What a configuration was read from, for reloads."""
 
     env: dict[str, str] = {}
     operators: str = ""
@@ -111,10 +113,10 @@
     names: Names
     openai: OpenAIConfig | None = None
     openai_listen: tuple[str, int] | None = None
-    operators: Operators | None = None  # where a file of the operators is named
+    operators: Operators | None = None  # if an operators' file is given
     subset: int = 0  # model servers that this router uses; 0: all
     inventory: Path | None = None
-    said: str = ""  # where its file says that discovery is; the environment may have said otherwise
+    file_discovery: str = ""  # discovery's address in the file; the environment may override it
     source: Source = msgspec.field(default_factory=lambda: Source())
 
     @property
@@ -126,7 +128,7 @@
     host, colon, port = text.strip().rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     if not colon or not host or not port.isdecimal() or int(port) > 65535:
-        raise ConfigError(f"{what}: an address and a port are wanted, not {text!r}")
+        raise ConfigError(f"{what}: expected address:port, got {text!r}")
     return host, int(port)
 
 
@@ -144,20 +146,24 @@
     listen = env.get("EDGE_LISTEN") or raw.listen
     discovery = env.get("EDGE_DISCOVERY") or raw.discovery
     if discovery and not settings.subscribe:
-        settings = replace(settings, subscribe=True)  # on sockets no list comes unasked
+        settings = replace(settings, subscribe=True)  # discovery sends no list that was not requested
     if inventory:
         settings = replace(settings, subscribe=False)
     try:
         seed = int(raw.seed, 16) if isinstance(raw.seed, str) else raw.seed
     except ValueError:
-        raise ConfigError(f"seed: a number is wanted, not {raw.seed!r}") from None
+        raise ConfigError(f"seed: expected a hexadecimal number, got {raw.seed!r}") from None
     known = read_host_list(bytes(raw.known)) if bytes(raw.known) != b"null" else HostList()
-    own = _operators(operators, names) if operators else None
-    second = own.openai if own is not None and own.openai is not None and own.openai.enabled else None
-    if not listen and second is None and (own is None or own.edge is None):
+    operators_config = _operators(operators, names) if operators else None
+    openai = (
+        operators_config.openai
+        if operators_config is not None and operators_config.openai is not None and operators_config.openai.enabled
+        else None
+    )
+    if not listen and openai is None and (operators_config is None or operators_config.edge is None):
         raise ConfigError("listen: missing")
     if not discovery and not inventory:
-        raise ConfigError("discovery: missing, and no inventory is named")
+        raise ConfigError("discovery: missing, and no inventory is given")
     return Config(
         name=env.get("EDGE_NAME") or raw.name,
         listen=address(listen, "listen") if listen else None,
@@ -167,22 +173,22 @@
         known=known if isinstance(known, HostList) else HostList(),
         settings=settings,
         names=names,
-        openai=second,
-        openai_listen=address(second.listen, "openai listen") if second else None,
-        operators=own,
-        subset=own.subset if own is not None else 0,
+        openai=openai,
+        openai_listen=address(openai.listen, "openai listen") if openai else None,
+        operators=operators_config,
+        subset=operators_config.subset if operators_config is not None else 0,
         inventory=Path(inventory) if inventory else None,
-        said=raw.discovery,
+        file_discovery=raw.discovery,
         source=Source(dict(env), operators, inventory, config),
     )
 
 
 def _check_names(field: str, items: list[Named]) -> None:
-    """Under a name that two have, requests would go by the last one's settings."""
+    """Rejects duplicate names: requests of the first would get the settings of the last."""
     seen: set[str] = set()
     for number, item in enumerate(items):
         if item.name and item.name in seen:
-            raise ConfigError(f"settings.{field}[{number}].name: {item.name!r} is there twice")
+            raise ConfigError(f"settings.{field}[{number}].name: {item.name!r} is not unique")
         seen.add(item.name)
 
 
@@ -194,22 +200,22 @@
     return value
 
 
-def _raw(text: bytes) -> Raw:
-    """A key whose value is null counts as absent."""
+def _raw(text: bytes) -> RawConfig:
+    """Decodes the configuration file. A key whose value is null counts as absent."""
     parts = _decode(text, dict[str, msgspec.Raw], "configuration")
     known = parts.pop("known", msgspec.Raw(b"null"))
-    whole = _without_nulls({key: _decode(bytes(part), object, key) for key, part in parts.items()})
-    raw = _decode(msgspec.json.encode(whole), Raw, "configuration")
+    present = _without_nulls({key: _decode(bytes(part), object, key) for key, part in parts.items()})
+    raw = _decode(msgspec.json.encode(present), RawConfig, "configuration")
     raw.known = known
     return raw
 
 
-def read_again(held: Config) -> Config:
-    """The same files once more. The environment is as old as the process: where the file names another
-    discovery than before, that goes before what the environment said, now and from then on."""
-    source = held.source
+def reread_config(current: Config) -> Config:
+    """Reads the same files again. The environment is that of the process's start: if the file names another discovery
+    than before, the file takes precedence over the environment, now and in later reloads."""
+    source = current.source
     found = read_config(source.env, source.operators, source.inventory, source.config)
-    if found.said != held.said:
+    if found.file_discovery != current.file_discovery:
         env = {key: value for key, value in source.env.items() if key != "EDGE_DISCOVERY"}
         found = read_config(env, source.operators, source.inventory, source.config)
     return found
@@ -236,11 +242,11 @@
 
 def _read(path: str, what: str) -> bytes:
     if not path:
-        raise ConfigError(f"{what}: no file is named")
+        raise ConfigError(f"{what}: no file is given")
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}", error.errno in PASSING_ERRORS) from None
+        raise ConfigError(f"{path}: {error.strerror}", error.errno in TRANSIENT_ERRORS) from None
 
 
 def _decode(data: bytes, kind: type[T], what: str) -> T:
--- a/pearstall/net/core.py
+++ b/pearstall/net/core.py
@@ -1,4 +1,5 @@
-"""Queries, executions and their outcomes. Drives the Router and carries out its actions; knows no wire."""
+"""Queries, executions and their outcomes. Drives the Router and carries out its actions, independently of any wire
+format."""
 
 from __future__ import annotations
 
@@ -36,15 +37,17 @@
 from pearstall.net.slots import Slots
 
 if TYPE_CHECKING:
-    from pearstall.net.trace import Trace  # imported where it is asked for
+    from pearstall.net.trace import Trace  # imported only when tracing is enabled
 
-STALL = 4.0  # a stream without an event for so long has no server any more: a vanished machine says nothing
-DESERTED = 0.5  # without a query for so long, clients have gone elsewhere
-GUARD = 0.015  # past a query's deadline: the final answer is still on time here, should the Router owe one
+# A machine that vanishes sends neither an end nor a reset: a stream without an event for this long is cut.
+STREAM_STALL_SECONDS = 4.0
+QUIET_BEFORE_MOVE_SECONDS = 0.5  # without a new query for this long, clients are using another router
+# This long after a query's deadline, the core answers in place of a Router that has not; it still counts as on time.
+GUARD_DELAY_SECONDS = 0.015
 
 
 class Reach(IntEnum):
-    """How far an execution had come."""
+    """How far an execution had got when its connection broke."""
 
     NOT_CONNECTED = 0
     PARTLY_WRITTEN = 1
@@ -54,19 +57,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Served:
-    kept_tokens: int = 0
+    kept_tokens: int = 0  # prompt tokens that the server had cached
 
 
 @dataclass(slots=True, frozen=True)
 class Declined:
-    """An answer that is no stream. `turned_away`: it proves that the query never ran."""
+    """A response that is not a stream. `turned_away`: the server states that it did not run the query."""
 
     turned_away: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Blamed:
-    """An answer that blames the query itself, in the OpenAI-style form: it goes to the client."""
+    """An error response that rejects the query itself, in the OpenAI-style form; it is passed on to the client."""
 
     status: int
     body: bytes
@@ -83,27 +86,30 @@
 
 
 def result_of(end: End) -> Result:
-    """The protocol's table of outcomes. Once the last byte was written, a break may come after it has run."""
+    """The protocol's table of outcomes. Once the last byte was written, the server may have run the query before the
+    connection broke."""
     if isinstance(end, Served):
         return Result.OK
     if isinstance(end, Declined):
         return Result.FULL if end.turned_away else Result.ERROR
     if isinstance(end, Blamed):
-        return Result.CANCELLED  # says nothing of the server: bad queries must not get good servers ejected
+        return Result.CANCELLED  # no evidence against the server: invalid queries must not eject a healthy one
     return Result.RESET if end.reach >= Reach.FULLY_WRITTEN else Result.CONNECT_FAILED
 
 
 class Answer(Protocol):
-    """A query's way back to its client."""
+    """Delivers a query's answer to its client."""
 
     def gone(self) -> bool:
-        """Whether its client has left, though nothing has told so yet: no execution may begin then."""
+        """Whether the client has disconnected, even if the event loop has not reported it yet: no execution may begin
+        then."""
 
     def pass_on(self, events: bytes) -> bool:
-        """Whether any of it is on its way to the client: then the answer is this execution's for good."""
+        """Passes whole events on. True once any have been sent to the client: the answer can then come from this
+        execution only."""
 
     def again(self) -> None:
-        """Another execution begins: what was kept back of the last one is void."""
+        """Another execution begins: events of the previous one that are still buffered are discarded."""
 
     def finish(self) -> None: ...
 
@@ -117,7 +123,7 @@
 
 
 class Carrier(Protocol):
-    """What carries an execution: a server link."""
+    """Sends an execution and reads its answer: a connection to a model server."""
 
     def give_up(self) -> None: ...
 
@@ -126,55 +132,55 @@
 
 @dataclass(slots=True)
 class Query:
-    """A client's request, as a front read it."""
+    """A client's request, as parsed by a front."""
 
     class_index: int
-    deadline: float  # the clock's seconds
+    deadline: float  # seconds of the core's clock
     answer: Answer
     method: str = "POST"
     target: str = "/v1/chat/completions"
     body: bytes = b""
-    headers: str = ""  # lines that go on to the model server as they came
-    txn: str = ""  # the client's own id; none is ever made up
+    headers: str = ""  # header lines that are forwarded to the model server unchanged
+    txn: str = ""  # the client's own id; empty if it sent none, and never generated here
     prompt_tokens: float = 0.0
     session: int = 0
     prefix: int = 0
     prefix_tokens: float = 0.0
     tenant: int = 0
-    repeated: bool = False  # its client says that it asked before
-    streams: bool = True  # else the client gets the answer whole, at its end
+    repeated: bool = False  # the client marked it as a repetition of an earlier request
+    streams: bool = True  # False: the client gets the whole answer at its end
     handle: int = 0
-    taken: float = 0.0
+    accepted_at: float = 0.0
     executions: list[Execution] = field(default_factory=list)
-    out: int = 0
-    over: bool = False  # finally answered, or its client has gone
-    passed: bool = False
-    guard: Deadline | None = None
+    in_flight: int = 0  # executions that have not ended
+    finished: bool = False  # its final answer was given, or its client has disconnected
+    forwarded: bool = False  # part of its answer was passed on to the client
+    guard: Deadline | None = None  # answers the query should the Router miss its deadline
 
 
 class Execution:
     """One attempt of a query."""
 
-    __slots__ = ("query", "number", "replica", "began", "until", "started", "ended", "timeout", "carrier",
-                 "latest", "paused")  # fmt: skip
+    __slots__ = ("query", "number", "replica", "started_at", "expires_at", "streaming", "ended", "timeout",
+                 "carrier", "last_event_at", "paused")  # fmt: skip
 
-    def __init__(self, query: Query, number: int, replica: int, began: float) -> None:
+    def __init__(self, query: Query, number: int, replica: int, started_at: float) -> None:
         self.query = query
         self.number = number
         self.replica = replica
-        self.began = began
-        self.until = began  # the router waits for its first event
-        self.started = False  # its first event came
+        self.started_at = started_at
+        self.expires_at = started_at  # latest time for its first event
+        self.streaming = False  # its first event has arrived
         self.ended = False
         self.timeout: Deadline | None = None
         self.carrier: Carrier | None = None
-        self.latest = began  # when something of its answer came last
-        self.paused = False  # the client reads slowly
+        self.last_event_at = started_at
+        self.paused = False  # the client reads too slowly
 
 
 class Servers(Protocol):
     def start(self, execution: Execution) -> Carrier | None:
-        """None: no such server is listed any more."""
+        """None if the server is no longer listed or accepts nothing new."""
 
 
 def _refuse(retry_after: int, answer: Answer) -> None:
@@ -182,6 +188,8 @@
 
 
 class Core:
+    """The queries of one router: passes events to the Router and carries out the actions that it returns."""
+
     def __init__(
         self, settings: Settings, seed: int, deadlines: Deadlines, counters: Counters, servers: Servers
     ) -> None:
@@ -191,20 +199,21 @@
         self.counters = counters
         self.servers = servers
         self.queries: Slots[Query] = Slots()
-        self.taking = True
-        self.latest = 0.0  # when a query was taken last
-        self.open_ids: set[str] = set()  # the clients' own, of the queries in the slots
+        self.accepting = True
+        self.last_query_at = 0.0
+        self.open_ids: set[str] = set()  # client-supplied ids of the queries in `queries`
         self.router = Router(settings, seed)
         self.events: deque[Event] = deque()
-        self.driving = False
+        self.dispatching = False
         self.watch: Callable[[bool], None] = lambda on: None
-        self.idle: Callable[[], None] = lambda: None
+        self.on_idle: Callable[[], None] = lambda: None
         self.trace: Trace | None = None
         self.log: EventLog = SILENT
         self.server_name: Callable[[int], str] = str
 
     def reconfigure(self, settings: Settings, classes: Sequence[int], tenants: Sequence[int]) -> None:
-        """For each class and tenant its number before, or -1. Open requests end under what they began with."""
+        """`classes` and `tenants` give the previous number of each, or -1. Open requests keep the settings they
+        started with."""
         self.settings = settings
         self.router.reconfigure(settings, classes, tenants)
 
@@ -216,12 +225,13 @@
     def _now(self) -> int:
         return int(self.clock() * 1_000_000)
 
-    def tell(self, event: Event) -> None:
-        """Events are told one after the other: an action's own events wait until all its batch is done."""
+    def dispatch(self, event: Event) -> None:
+        """Passes an event to the Router and carries out its actions. Events that these actions cause are queued
+        until all actions of the batch are done."""
         self.events.append(event)
-        if self.driving:
+        if self.dispatching:
             return
-        self.driving = True
+        self.dispatching = True
         try:
             while self.events:
                 event = self.events.popleft()
@@ -230,14 +240,14 @@
                     self.trace(event, actions)
                 self._carry_out(actions)
         finally:
-            self.driving = False
+            self.dispatching = False
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self._send(action)
             elif isinstance(action, SetTimer):
-                self.deadlines.after(action.delay / 1e6, partial(self.tell, Timer(action.tag)))
+                self.deadlines.after(action.delay / 1e6, partial(self.dispatch, Timer(action.tag)))
             elif isinstance(action, Cancel):
                 self._cancel(action)
             elif isinstance(action, Refuse):
@@ -256,8 +266,8 @@
 
     def _log_end(self, event: str, handle: int, why: str) -> None:
         query = self.queries.get(handle)
-        if self.log.enabled and query is not None and not query.over:
-            waited = round((self.clock() - query.taken) * 1000)
+        if self.log.enabled and query is not None and not query.finished:
+            waited = round((self.clock() - query.accepted_at) * 1000)
             self.log.event(event, request=query.txn, why=why, attempts=len(query.executions), ms=waited)
 
     def _log_attempt(self, execution: Execution, result: Result, why: str) -> None:
@@ -269,29 +279,29 @@
                 server=self.server_name(execution.replica),
                 result=result.name.lower(),
                 why=why,
-                ms=round((self.clock() - execution.began) * 1000),
+                ms=round((self.clock() - execution.started_at) * 1000),
             )
 
     # -- queries -------------------------------------------------------------------------------------------
 
     def take(self, query: Query) -> int:
-        """One final answer is owed from here on."""
+        """Accepts a query. From here on the core gives it exactly one final answer, or its client disconnects."""
         query.handle = handle = self.queries.add(query)
         self.counters.queries += 1
         if query.answer.gone():
             self.counters.clients_gone += 1
-            self._over(query)
+            self._finish_query(query)
             return handle
-        query.taken = self.latest = self.clock()
+        query.accepted_at = self.last_query_at = self.clock()
         if query.txn:
             self.open_ids.add(query.txn)
         if self.trace is not None:
             self.trace.query(handle, query.txn)
-        if not self.taking:
+        if not self.accepting:
             self._answer(handle, partial(_refuse, 0))
             return handle
-        query.guard = self.deadlines.at(query.deadline + GUARD, lambda: self._overdue(query))
-        self.tell(
+        query.guard = self.deadlines.at(query.deadline + GUARD_DELAY_SECONDS, lambda: self._overdue(query))
+        self.dispatch(
             Request(
                 handle,
                 query.class_index,
@@ -308,49 +318,49 @@
 
     def client_gone(self, handle: int) -> None:
         query = self.queries.get(handle)
-        if query is not None and not query.over:
+        if query is not None and not query.finished:
             self.counters.clients_gone += 1
-            self._over(query)
-            self.tell(ClientGone(handle))
+            self._finish_query(query)
+            self.dispatch(ClientGone(handle))
 
     def pause(self, handle: int, paused: bool) -> None:
-        """The client's side is full, or has room again."""
+        """The client's write buffer is full, or has drained."""
         query = self.queries.get(handle)
         if query is not None:
             for execution in query.executions:
                 if not execution.ended and execution.carrier is not None:
-                    execution.paused, execution.latest = paused, self.clock()
+                    execution.paused, execution.last_event_at = paused, self.clock()
                     execution.carrier.pause(paused)
 
     def _overdue(self, query: Query) -> None:
-        """The Router's own time-outs end before the deadline; what was missed is answered all the same."""
-        if not query.over:
+        """Answers a query that the Router left unanswered at its deadline, although its own time-outs end earlier."""
+        if not query.finished:
             self.counters.overdue += 1
             self._log_end("request_failed", query.handle, "overdue")
             self._answer(query.handle, lambda answer: answer.fail(True))
-            self.tell(ClientGone(query.handle))
+            self.dispatch(ClientGone(query.handle))
 
-    def _answer(self, handle: int, say: Callable[[Answer], None]) -> None:
+    def _answer(self, handle: int, respond: Callable[[Answer], None]) -> None:
         query = self.queries.get(handle)
-        if query is None or query.over:
+        if query is None or query.finished:
             return
-        before = query.answer
-        self._over(query)
-        say(before)
+        answer = query.answer
+        self._finish_query(query)
+        respond(answer)
 
-    def _over(self, query: Query) -> None:
-        query.over = True
+    def _finish_query(self, query: Query) -> None:
+        query.finished = True
         if query.guard is not None:
             query.guard.cancel()
             query.guard = None
-        self._forget(query)
+        self._release(query)
 
-    def _forget(self, query: Query) -> None:
-        if query.over and not query.out:
+    def _release(self, query: Query) -> None:
+        if query.finished and not query.in_flight:
             if self.queries.remove(query.handle) is not None:
                 self.open_ids.discard(query.txn)
             if not len(self.queries):
-                self.idle()
+                self.on_idle()
 
     # -- executions ----------------------------------------------------------------------------------------
 
@@ -363,31 +373,31 @@
         number, now = len(query.executions), self.clock()
         execution = Execution(query, number, action.replica, now)
         query.executions.append(execution)
-        query.out += 1
-        # The rules stand here too, whatever the Router asks for: so many attempts, and never two at once.
-        crowded = query.out > 1 and not self.settings.second_copies
-        left = query.deadline - now
-        if query.over or crowded or number >= self.settings.max_attempts or left <= 0:
-            self._ended(execution, Result.MOOT)
+        query.in_flight += 1
+        # Enforced here as well, whatever the Router requests: the limit on attempts, and one execution at a time.
+        concurrent = query.in_flight > 1 and not self.settings.second_copies
+        remaining = query.deadline - now
+        if query.finished or concurrent or number >= self.settings.max_attempts or remaining <= 0:
+            self._end_execution(execution, Result.MOOT)
             return
-        patience = min(action.timeout / 1e6, left) if action.timeout else left
+        timeout = min(action.timeout / 1e6, remaining) if action.timeout else remaining
         self.counters.executions += 1
         query.answer.again()
-        execution.until = now + patience
-        execution.timeout = self.deadlines.at(execution.until, lambda: self._timed_out(execution))
+        execution.expires_at = now + timeout
+        execution.timeout = self.deadlines.at(execution.expires_at, lambda: self._timed_out(execution))
         execution.carrier = self.servers.start(execution)
         if execution.carrier is None:
-            self._ended(execution, Result.MOOT)
+            self._end_execution(execution, Result.MOOT)
 
-    def wanted(self, execution: Execution, listed: bool) -> bool:
-        """Whether it is still to be sent, now that the way to the server is open; `listed`: the server still takes
-        new requests there."""
+    def still_needed(self, execution: Execution, listed: bool) -> bool:
+        """Whether to send the execution now that the connection to the server is open. `listed`: the server still
+        accepts new requests at that address."""
         query = execution.query
         if query.answer.gone():
             self.client_gone(query.handle)
-        if query.over:
+        if query.finished:
             self._give_up(execution, Result.CANCELLED)
-        elif not listed or self.clock() >= execution.until:
+        elif not listed or self.clock() >= execution.expires_at:
             self._give_up(execution, Result.MOOT)  # nothing of it was written
         return not execution.ended
 
@@ -398,135 +408,135 @@
         query = self.queries.get(action.request)
         if query is not None and action.attempt < len(query.executions):
             execution = query.executions[action.attempt]
-            # A stream begun belongs to its client: only where that has gone is it ended.
-            if not execution.started or query.over:
+            # A stream that has begun is only cancelled once its query is finished, as when the client has left.
+            if not execution.streaming or query.finished:
                 self._give_up(execution, Result.CANCELLED)
 
     def _give_up(self, execution: Execution, result: Result) -> None:
         if not execution.ended:
-            # The old link is closed before its end is told: the next execution may go out at once.
+            # The connection is closed before the end is reported: the next execution may start immediately.
             if execution.carrier is not None:
                 execution.carrier.give_up()
-            self._ended(execution, result)
+            self._end_execution(execution, result)
 
-    def passed(self, execution: Execution, events: bytes) -> None:
-        """Whole events of the answer have come."""
+    def received(self, execution: Execution, events: bytes) -> None:
+        """Whole events of the answer have arrived."""
         query = execution.query
         if execution.ended:
             return
-        execution.latest = self.clock()
-        if not execution.started:
-            execution.started = True
+        execution.last_event_at = self.clock()
+        if not execution.streaming:
+            execution.streaming = True
             if execution.timeout is not None:
                 execution.timeout.cancel()
             self._watch_stream(execution)
             if query.guard is not None:
                 query.guard.cancel()
                 query.guard = None
-            took = int((self.clock() - execution.began) * 1e6)
-            first = FirstToken(query.handle, execution.number, execution.replica, took)
-            if not query.over and query.answer.pass_on(events):
-                query.passed = True
-                query.body = b""  # nothing is sent again from here on
-            self.tell(first)
-        elif not query.over and query.answer.pass_on(events):
-            query.passed = True
+            elapsed = int((self.clock() - execution.started_at) * 1e6)
+            event = FirstToken(query.handle, execution.number, execution.replica, elapsed)
+            if not query.finished and query.answer.pass_on(events):
+                query.forwarded = True
+                query.body = b""  # the query can't be sent again from here on
+            self.dispatch(event)
+        elif not query.finished and query.answer.pass_on(events):
+            query.forwarded = True
 
     def _watch_stream(self, execution: Execution) -> None:
-        due = execution.latest + STALL
-        if execution.paused or self.clock() < due:
-            again = max(due, self.clock() + STALL / 4)
-            execution.timeout = self.deadlines.at(again, partial(self._watch_stream, execution))
+        stalled_at = execution.last_event_at + STREAM_STALL_SECONDS
+        if execution.paused or self.clock() < stalled_at:
+            next_check = max(stalled_at, self.clock() + STREAM_STALL_SECONDS / 4)
+            execution.timeout = self.deadlines.at(next_check, partial(self._watch_stream, execution))
             return
-        # Left alone, its client would wait on for an end that nobody sends; cut, it asks for the rest.
+        # Otherwise the client would wait for an end that never arrives; after a cut it requests the rest.
         if execution.carrier is not None:
             execution.carrier.give_up()
         self.ended(execution, Broken(Reach.ANSWERING, "no event came"))
 
-    def move(self) -> None:
-        """Ends the streams under way, so that their clients ask for the rest at another router while there
-        is one. Where queries still come long after clients were asked off, there is none: they'd be back."""
-        if self.clock() - self.latest < DESERTED:
+    def move_streams(self) -> None:
+        """Cuts the streams under way, so that their clients request the rest from another router. Does nothing while
+        queries still arrive, long after clients were asked to leave: then there is no other router, and the clients
+        would come back here."""
+        if self.clock() - self.last_query_at < QUIET_BEFORE_MOVE_SECONDS:
             return
         for query in self.queries:
-            if query.passed and not query.over:
+            if query.forwarded and not query.finished:
                 self.counters.moved += 1
                 self._answer(query.handle, lambda answer: answer.cut())
-                self.tell(ClientGone(query.handle))
+                self.dispatch(ClientGone(query.handle))
 
-    def stop_taking(self) -> None:
-        """What comes from now on is refused: it could not be answered to its end here."""
-        self.taking = False
+    def stop_accepting(self) -> None:
+        """Refuses new queries: this program could not answer them to their end."""
+        self.accepting = False
 
     def hurry(self, resumable: bool, late: float) -> None:
-        """The program is about to be killed: whoever waits for a first event may ask elsewhere in time, and
-        so may from now on whoever asks. Streams run on until the end, and many finish before it; only those
-        asked for since `late` may not be cut by the end itself: they are ended here, where clients ask for
-        the rest."""
-        self.stop_taking()
+        """Ends what can't finish before the program is killed, and refuses new queries. Clients that wait for a first
+        event still have time to ask another router. Streams go on, and many finish before the kill; only where
+        clients resume streams (`resumable`), those accepted since `late` are cut here rather than by the kill."""
+        self.stop_accepting()
         for query in self.queries:
-            if query.over or (query.passed and (not resumable or query.taken < late)):
+            if query.finished or (query.forwarded and (not resumable or query.accepted_at < late)):
                 continue
             self._log_end("request_ended", query.handle, "shutdown")
-            if query.passed:
+            if query.forwarded:
                 self.counters.moved += 1
                 self._answer(query.handle, lambda answer: answer.cut())
             elif self.router.may_refuse(query.handle):
                 self._answer(query.handle, partial(_refuse, 0))
-            else:  # it may have run: to ask again is not harmless
+            else:  # it may have run, and must not be repeated
                 self._answer(query.handle, lambda answer: answer.fail(False))
-            self.tell(ClientGone(query.handle))
+            self.dispatch(ClientGone(query.handle))
 
     def ended(self, execution: Execution, end: End) -> None:
-        """The server link is done with it."""
+        """An execution's connection reports how it ended."""
         if execution.ended:
             return
         query, result = execution.query, result_of(end)
-        if not query.over:
+        if not query.finished:
             if isinstance(end, Served):
                 self.counters.served += 1
                 answer = query.answer
-                query.over = True
+                query.finished = True
                 answer.finish()
             elif isinstance(end, Blamed):
                 self.counters.blamed += 1
                 answer = query.answer
-                query.over = True
+                query.finished = True
                 answer.blame(end)
-            elif query.passed:
-                # No second execution: the client has a part of this answer, and asks for the rest itself.
+            elif query.forwarded:
+                # No further execution: the client has part of this answer, and requests the rest itself.
                 self.counters.broken += 1
                 answer = query.answer
-                query.over = True
+                query.finished = True
                 answer.cut()
         why = end.why if isinstance(end, Broken) else ""
-        self._ended(execution, result, end.kept_tokens if isinstance(end, Served) else 0, why)
+        self._end_execution(execution, result, end.kept_tokens if isinstance(end, Served) else 0, why)
 
-    def _ended(self, execution: Execution, result: Result, kept: int = 0, why: str = "") -> None:
+    def _end_execution(self, execution: Execution, result: Result, kept_tokens: int = 0, why: str = "") -> None:
         query = execution.query
         execution.ended = True
         self._log_attempt(execution, result, why)
-        query.out -= 1
+        query.in_flight -= 1
         if execution.timeout is not None:
             execution.timeout.cancel()
         self.counters.outcome(result.name.lower())
-        took = int((self.clock() - execution.began) * 1e6)
-        handle, over = query.handle, query.over
-        if over and query.guard is not None:
+        elapsed = int((self.clock() - execution.started_at) * 1e6)
+        handle, finished = query.handle, query.finished
+        if finished and query.guard is not None:
             query.guard.cancel()
             query.guard = None
-        if execution.started and not over and query.guard is None:
-            # Begun but nothing passed on, then broken: it may go out again while its deadline allows.
-            query.guard = self.deadlines.at(query.deadline + GUARD, lambda: self._overdue(query))
-        outcome = Outcome(handle, execution.number, execution.replica, result, over, took, kept)
-        self.tell(outcome)
-        self._forget(query)
+        if execution.streaming and not finished and query.guard is None:
+            # The stream broke before any event was forwarded: the query may be sent again before its deadline.
+            query.guard = self.deadlines.at(query.deadline + GUARD_DELAY_SECONDS, lambda: self._overdue(query))
+        outcome = Outcome(handle, execution.number, execution.replica, result, finished, elapsed, kept_tokens)
+        self.dispatch(outcome)
+        self._release(query)
 
     # -- the cluster ------------------------------------------------------------------------------------
 
-    def listed(self, news: ReplicaList) -> None:
-        if news.kind == ListKind.FAILED:
+    def listed(self, update: ReplicaList) -> None:
+        if update.kind == ListKind.FAILED:
             self.counters.list_failures += 1
         else:
             self.counters.list_changes += 1
-        self.tell(news)
+        self.dispatch(update)
--- a/pearstall/net/deadlines.py
+++ b/pearstall/net/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the program in one ordered structure, driven by one timer of the loop."""
+"""All deadlines of the program in one heap, driven by a single timer of the event loop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Clock(Protocol):
-    """What an event loop offers; a test brings one of its own."""
+    """The part of an event loop that deadlines use; tests supply their own."""
 
     def time(self) -> float: ...
 
@@ -20,6 +20,8 @@
 
 
 class Deadline:
+    """A call at a given time. Cancelling it twice, or after the call, has no effect."""
+
     __slots__ = ("call", "owner")
 
     def __init__(self, owner: Deadlines, call: Callable[[], object]) -> None:
@@ -29,54 +31,54 @@
     def cancel(self) -> None:
         if self.call is not None:
             self.call = None
-            self.owner.dropped()
+            self.owner.count_cancelled()
 
 
 class Deadlines:
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.heap: list[tuple[float, int, Deadline]] = []
-        self.count = 0
-        self.dead = 0
+        self.sequence = 0
+        self.cancelled_count = 0
         self.armed: Handle | None = None
         self.armed_at = float("inf")
 
     def __len__(self) -> int:
-        return len(self.heap) - self.dead
+        return len(self.heap) - self.cancelled_count
 
     def at(self, when: float, call: Callable[[], object]) -> Deadline:
         deadline = Deadline(self, call)
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, deadline))
+        self.sequence += 1
+        heapq.heappush(self.heap, (when, self.sequence, deadline))
         self._arm()
         return deadline
 
     def after(self, delay: float, call: Callable[[], object]) -> Deadline:
         return self.at(self.clock.time() + delay, call)
 
-    def dropped(self) -> None:
-        """One was cancelled: they stay in the heap until due, unless they come to be most of it."""
-        self.dead += 1
-        if self.dead > 64 and self.dead * 2 > len(self.heap):
+    def count_cancelled(self) -> None:
+        """Cancelled deadlines stay in the heap until they are due; when they become most of it, they are removed."""
+        self.cancelled_count += 1
+        if self.cancelled_count > 64 and self.cancelled_count * 2 > len(self.heap):
             self.heap = [item for item in self.heap if item[2].call is not None]
             heapq.heapify(self.heap)
-            self.dead = 0
+            self.cancelled_count = 0
 
     def _arm(self) -> None:
         if self.heap and self.heap[0][0] < self.armed_at:
             if self.armed is not None:
                 self.armed.cancel()
             self.armed_at = self.heap[0][0]
-            self.armed = self.clock.call_at(self.armed_at, self._due)
+            self.armed = self.clock.call_at(self.armed_at, self._run_due)
 
-    def _due(self) -> None:
+    def _run_due(self) -> None:
         self.armed, self.armed_at = None, float("inf")
         try:
             while self.heap and self.heap[0][0] <= self.clock.time():
                 deadline = heapq.heappop(self.heap)[2]
                 call, deadline.call = deadline.call, None
                 if call is None:
-                    self.dead -= 1
+                    self.cancelled_count -= 1
                 else:
                     call()
         finally:
--- a/pearstall/net/inventory.py
+++ b/pearstall/net/inventory.py
@@ -1,4 +1,4 @@
-"""Host lists: discovery's JSON, and inventories in CSV or YAML as configuration tools keep them."""
+"""Lists of model servers: discovery's JSON, and inventories in CSV or YAML as configuration tools write them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Host(msgspec.Struct, frozen=True):
-    """One entry. `address` is empty only where the status is gone."""
+    """One entry. `address` may be empty only if the status is "gone"."""
 
     name: Name
     address: str = ""
@@ -33,7 +33,7 @@
 
 
 class HostList(msgspec.Struct):
-    """Whole where `snapshot` is set, else what changed. `skipped` counts entries that were no entries."""
+    """A whole list if `snapshot` is set, else the changes. `skipped` counts invalid and duplicate entries."""
 
     hosts: list[Host] = []
     index: int = -1
@@ -46,31 +46,31 @@
 
 
 def read_host_list(data: bytes) -> HostList | BadList:
-    """One message of discovery. A bad entry is skipped, so that one machine's mistake hides no other."""
+    """Decodes one message of discovery. An invalid entry is skipped, so that it does not hide the others."""
     try:
         message = msgspec.json.decode(data, type=_Message)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return BadList(str(error))
-    out = HostList(index=message.index, snapshot=message.snapshot)
+    result = HostList(index=message.index, snapshot=message.snapshot)
     for raw in message.endpoints:
         try:
             host = msgspec.json.decode(raw, type=Host)
         except (msgspec.DecodeError, UnicodeDecodeError):
-            out.skipped += 1
+            result.skipped += 1
             continue
-        _add(out, host, not message.snapshot)
-    latest = {host.name: host for host in out.hosts}  # of entries under one name the last counts
-    out.skipped += len(out.hosts) - len(latest)
-    out.hosts = list(latest.values())
-    return out
+        _add_host(result, host, not message.snapshot)
+    latest = {host.name: host for host in result.hosts}  # of several entries with one name, the last counts
+    result.skipped += len(result.hosts) - len(latest)
+    result.hosts = list(latest.values())
+    return result
 
 
-def _add(out: HostList, host: Host, changes: bool) -> None:
+def _add_host(result: HostList, host: Host, changes: bool) -> None:
     states = ("ready", "draining", "gone") if changes else ("ready", "draining")
     if host.status not in states or (host.status != "gone" and split_address(host.address) is None):
-        out.skipped += 1
+        result.skipped += 1
     else:
-        out.hosts.append(host)
+        result.hosts.append(host)
 
 
 def split_address(text: str) -> tuple[str, int] | None:
@@ -82,7 +82,7 @@
 
 
 def read_inventory(path: Path) -> HostList | BadList:
-    """By its ending: CSV with a head row, or YAML: a list of hosts, or groups as Ansible keeps them."""
+    """Reads a file by its extension: CSV with a header row, or YAML, with a list of hosts or groups as in Ansible."""
     try:
         text = path.read_text(encoding="utf-8-sig")
     except (OSError, UnicodeDecodeError) as error:
@@ -95,7 +95,7 @@
     try:
         fields = [name.strip().lower() for name in rows.fieldnames or []]
         if "name" not in fields or "address" not in fields:
-            return BadList("the first row must name the columns, name and address among them")
+            return BadList("the first row must name the columns, including name and address")
         rows.fieldnames = fields
         return _hosts(
             {key: value.strip() for key, value in row.items() if key and value and value.strip()}
@@ -107,7 +107,7 @@
 
 
 def read_yaml(text: str) -> HostList | BadList:
-    import yaml  # a tenth of the time that a router takes to start, and the platform's reads none
+    import yaml  # the import takes a tenth of a router's start, and the platform reads no YAML
 
     try:
         tree = yaml.safe_load(text)
@@ -118,39 +118,39 @@
     if isinstance(tree, list):
         return _hosts(tree)
     if not isinstance(tree, dict):
-        return BadList("a list of hosts or groups of them are wanted")
-    found: dict[str, dict[str, Any]] = {}
+        return BadList("expected a list of hosts or a mapping of groups")
+    entries: dict[str, dict[str, Any]] = {}
     try:
         for name, group in tree.items():
-            _group(str(name), group, {}, found, 0)
+            _read_group(str(name), group, {}, entries, 0)
     except ValueError as error:
         return BadList(str(error))
-    return _hosts(found.values())
+    return _hosts(entries.values())
 
 
-def _group(
-    name: str, group: Any, inherited: dict[str, Any], found: dict[str, dict[str, Any]], depth: int
+def _read_group(
+    name: str, group: Any, inherited: dict[str, Any], entries: dict[str, dict[str, Any]], depth: int
 ) -> None:
-    """Ansible's form: hosts, children and vars; what stands nearer to the host wins."""
+    """Reads a group in Ansible's form: hosts, children and vars. Values nearer to the host take precedence."""
     if group is None:
         return
     if not isinstance(group, dict) or depth > 32:
-        raise ValueError(f"group {name}: hosts, vars and children are wanted")
+        raise ValueError(f"group {name}: expected a mapping with hosts, vars and children, nested at most 32 deep")
     parts = [group.get(key) or {} for key in ("vars", "hosts", "children")]
     if not all(isinstance(part, dict) for part in parts):
-        raise ValueError(f"group {name}: vars, hosts and children are mappings")
+        raise ValueError(f"group {name}: vars, hosts and children must be mappings")
     variables, hosts, children = parts
     values = inherited | variables
-    for host, own in hosts.items():
-        entry = found.setdefault(str(host), {"name": str(host)})
+    for host, own_values in hosts.items():
+        entry = entries.setdefault(str(host), {"name": str(host)})
         entry.update(values)
-        entry.update(own if isinstance(own, dict) else {})
-    for child, below in children.items():
-        _group(str(child), below, values, found, depth + 1)
+        entry.update(own_values if isinstance(own_values, dict) else {})
+    for child, child_group in children.items():
+        _read_group(str(child), child_group, values, entries, depth + 1)
 
 
 def _hosts(rows: Iterable[Any]) -> HostList:
-    out = HostList()
+    result = HostList()
     seen: set[str] = set()
     for row in rows:
         if isinstance(row, dict) and "address" not in row and "ansible_host" in row:
@@ -158,11 +158,11 @@
         try:
             host = msgspec.convert(row, Host, strict=False)
         except msgspec.ValidationError:
-            out.skipped += 1
+            result.skipped += 1
             continue
         if host.name in seen:
-            out.skipped += 1
+            result.skipped += 1
             continue
         seen.add(host.name)
-        _add(out, host, False)
-    return out
+        _add_host(result, host, False)
+    return result
--- a/pearstall/net/listener.py
+++ b/pearstall/net/listener.py
@@ -1,6 +1,6 @@
-"""A listening socket that goes on accepting whatever accept(2) answers.
+"""A listening socket that keeps accepting, whichever error accept(2) returns.
 
-asyncio's own server stops for a second at each shortage of descriptors or memory, while connections that the kernel
+asyncio's own server pauses for a second at each shortage of descriptors or memory, while connections that the kernel
 has accepted wait with their requests.
 """
 
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-ACCEPTED_AT_ONCE = 8  # so many are open unseen in each of the turns between an accept and another's close
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+MAX_ACCEPTS_PER_WAKEUP = 8  # per loop iteration; until others are closed, these exceed the limit on connections
 SHORTAGE_PAUSE_SECONDS = 0.02
 SHORTAGES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-# Of a start: the process before may not be gone yet, and its address with it.
+# Retried at a start: the previous process may still hold the address.
 START_ERRORS = SHORTAGES | {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EINTR, errno.EAGAIN}
 START_ATTEMPTS = 30
 START_PAUSE_SECONDS = 0.1
@@ -25,31 +25,29 @@
 
 
 class Closable(Protocol):
-    """What a program keeps of a listener."""
+    """A listener, as its owner uses it."""
 
     def close(self) -> None: ...
 
 
 def bound_socket(host: str, port: int) -> socket.socket:
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    # Accepted sockets inherit the protocol's number, and asyncio sets TCP_NODELAY only where it says TCP: with the
-    # default, 0, the kernel held small events back until the client had acknowledged the ones before.
-    end = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+    # Accepted sockets inherit the protocol number, and asyncio sets TCP_NODELAY only if it is IPPROTO_TCP. With the
+    # default, 0, the kernel delays small events until the client has acknowledged the previous ones.
+    sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        end.setblocking(False)
-        end.bind((host, port))
-        end.listen(BACKLOG)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setblocking(False)
+        sock.bind((host, port))
+        sock.listen(BACKLOG)
     except OSError:
-        end.close()
+        sock.close()
         raise
-    return end
+    return sock
 
 
-async def open_listener(
-    make: MakeProtocol, host: str, port: int, failed: Callable[[OSError], None]
-) -> Listener:
-    """An OSError where the place stays taken."""
+async def open_listener(make: MakeProtocol, host: str, port: int, failed: Callable[[OSError], None]) -> Listener:
+    """Raises an OSError if the address stays in use."""
     for attempt in range(START_ATTEMPTS):
         try:
             return Listener(make, bound_socket(host, port), failed)
@@ -62,40 +60,40 @@
 
 
 class Listener:
-    """`failed` is told of each accept that failed."""
+    """Accepts connections on a listening socket. `failed` is called with each error of an accept."""
 
-    def __init__(self, make: MakeProtocol, end: socket.socket, failed: Callable[[OSError], None]) -> None:
+    def __init__(self, make: MakeProtocol, sock: socket.socket, failed: Callable[[OSError], None]) -> None:
         self.loop = asyncio.get_running_loop()
         self.make = make
-        self.end = end
+        self.sock = sock
         self.failed = failed
-        self.pause: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
         self.opening: set[asyncio.Task[None]] = set()
-        self._resume()
+        self._start_accepting()
 
     def close(self) -> None:
-        if self.pause is not None:
-            self.pause.cancel()
-        self.loop.remove_reader(self.end.fileno())
-        self.end.close()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+        self.loop.remove_reader(self.sock.fileno())
+        self.sock.close()
 
-    def _resume(self) -> None:
-        self.pause = None
-        self.loop.add_reader(self.end.fileno(), self._accept)
+    def _start_accepting(self) -> None:
+        self.retry_timer = None
+        self.loop.add_reader(self.sock.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTED_AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_WAKEUP):
             try:
-                connection, _ = self.end.accept()
+                connection, _ = self.sock.accept()
             except BlockingIOError:
                 return
             except OSError as error:
                 self.failed(error)
                 if error.errno in SHORTAGES:
-                    self.loop.remove_reader(self.end.fileno())
-                    self.pause = self.loop.call_later(SHORTAGE_PAUSE_SECONDS, self._resume)
+                    self.loop.remove_reader(self.sock.fileno())
+                    self.retry_timer = self.loop.call_later(SHORTAGE_PAUSE_SECONDS, self._start_accepting)
                     return
-                continue  # this connection's own end, or a call to be made again
+                continue  # the connection ended while queued, or the call was interrupted
             task = self.loop.create_task(self._open(connection))
             self.opening.add(task)
             task.add_done_callback(self.opening.discard)
--- a/pearstall/net/pending.py
+++ b/pearstall/net/pending.py
@@ -1,4 +1,4 @@
-"""What asyncio does not tell of a connection: whether something unread waits on it, and that its peer has gone."""
+"""What asyncio does not report of a connection: whether unread input waits, and whether the peer has closed."""
 
 from __future__ import annotations
 
@@ -9,31 +9,32 @@
 
 
 def pending(transport: asyncio.BaseTransport) -> bool:
-    """Bytes, an end or a reset that wait in the kernel; closing or writing now would cross them."""
-    return _polled(transport, "pending", select.POLLIN)
+    """Whether bytes, an end or a reset wait in the kernel, so that closing or writing now would race with them."""
+    return _poll(transport, "pending", select.POLLIN)
 
 
 def gone(transport: asyncio.BaseTransport) -> bool:
-    """The other side has closed or reset, read here or not: the loop gives its end out a turn later, and behind
-    bytes that wait. A connection that waited to be accepted may have its request and its end in one go."""
-    return _polled(transport, "gone", select.POLLRDHUP)
-
-
-def _polled(transport: asyncio.BaseTransport, what: str, events: int) -> bool:
-    tells: Callable[[], bool] | None = transport.get_extra_info(what)
-    if tells is not None:  # a transport without a socket that knows it by itself
-        return tells()
-    end: socket.socket | None = transport.get_extra_info("socket")
-    if end is None or end.fileno() < 0:
+    """Whether the peer has closed or reset the connection, even if that was not read yet: the event loop reports it
+    an iteration later, and only behind waiting bytes. A connection that waited to be accepted may bring its request
+    and its end together."""
+    return _poll(transport, "gone", select.POLLRDHUP)
+
+
+def _poll(transport: asyncio.BaseTransport, what: str, events: int) -> bool:
+    query: Callable[[], bool] | None = transport.get_extra_info(what)
+    if query is not None:  # a transport without a socket answers this itself
+        return query()
+    sock: socket.socket | None = transport.get_extra_info("socket")
+    if sock is None or sock.fileno() < 0:
         return True
     poll = select.poll()
-    poll.register(end.fileno(), events)
+    poll.register(sock.fileno(), events)
     return bool(poll.poll(0))
 
 
 def end_sending(transport: asyncio.Transport) -> None:
-    """Half closes. Where the other side has reset the connection already, the socket says so here, before the
-    loop has read it; such a link is just ended, and no exception reaches whoever gave the answer."""
+    """Half-closes a connection. If the peer has reset it and the event loop has not read that yet, the socket raises
+    here; the connection is then aborted, and the caller gets no exception."""
     try:
         transport.write_eof()
     except OSError:
--- a/pearstall/net/reconfigure.py
+++ b/pearstall/net/reconfigure.py
@@ -1,7 +1,7 @@
-"""What a configuration that is read again may change while the router runs, and what takes a restart.
+"""What a reloaded configuration may change while the router runs, and what requires a restart.
 
-Classes, tenants, limits, rules and prices are taken live. Zones, machine kinds, the routers' number and the way that
-lists come stand behind numbers that are in use, and stay.
+Classes, tenants, limits, rules and prices change live. Zones, machine kinds, the number of routers and the way lists
+arrive determine numbers that are in use, and can't change.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from pearstall.net.config import Config, ConfigError, Named
 
-# Attributes of Settings that can't change while the router runs, and the wire's name for each.
+# Attributes of Settings that can't change while the router runs, and the configuration key of each.
 FIXED_SETTINGS = {
     "zones": "dcs",
     "zone": "az",
@@ -21,32 +21,34 @@
     "subscribe": "membershipMode",
     "pushed": "membershipMode",
 }
-NEW = -1  # the number before of a class or tenant that was not there
+NEW = -1  # previous number of a class or tenant that did not exist
 
 
 @dataclass(slots=True, frozen=True)
 class Renumbering:
-    """For each class and tenant, in the new order, its number before."""
+    """The previous number of each class and tenant, in the new order."""
 
     classes: list[int]
     tenants: list[int]
 
 
-def renumber(held: Config, found: Config) -> Renumbering | None:
-    """How to get from one configuration's settings to the other's; None where they are the same. A ConfigError names
-    the field that takes a restart."""
-    if held.settings == found.settings and held.names == found.names:
+def renumber(current: Config, updated: Config) -> Renumbering | None:
+    """Maps the numbers of the updated configuration to the current ones; None if the settings are the same. Raises a
+    ConfigError that names the field if the change requires a restart."""
+    if current.settings == updated.settings and current.names == updated.names:
         return None
     for attribute, field in FIXED_SETTINGS.items():
-        if getattr(held.settings, attribute) != getattr(found.settings, attribute):
-            raise ConfigError(f"settings.{field}: takes a restart")
+        if getattr(current.settings, attribute) != getattr(updated.settings, attribute):
+            raise ConfigError(f"settings.{field}: a change requires a restart")
     for field in ("dcs", "models"):
-        if getattr(held.names, field) != getattr(found.names, field):
-            raise ConfigError(f"settings.{field}: takes a restart")
-    counted = len(held.settings.tenant_shares)
+        if getattr(current.names, field) != getattr(updated.names, field):
+            raise ConfigError(f"settings.{field}: a change requires a restart")
+    tenant_count = len(current.settings.tenant_shares)
     return Renumbering(
-        previous_numbers(held.names.lanes, found.names.lanes),
-        previous_numbers(held.names.accounts[:counted], found.names.accounts)[: len(found.settings.tenant_shares)],
+        previous_numbers(current.names.lanes, updated.names.lanes),
+        previous_numbers(current.names.accounts[:tenant_count], updated.names.accounts)[
+            : len(updated.settings.tenant_shares)
+        ],
     )
 
 
--- a/pearstall/net/serve.py
+++ b/pearstall/net/serve.py
@@ -1,4 +1,4 @@
-"""Puts the parts together and runs them until the program is asked to end."""
+"""Assembles the router's components and runs them until the program is asked to stop."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from pearstall.interface import ListKind
 from pearstall.net.client_link import ClientLink, ClientLinks
 from pearstall.net.cluster import Cluster
-from pearstall.net.config import Config, ConfigError, read_again
+from pearstall.net.config import Config, ConfigError, reread_config
 from pearstall.net.core import Core
 from pearstall.net.counters import Counters
 from pearstall.net.deadlines import Deadlines
@@ -28,36 +28,36 @@
 if TYPE_CHECKING:
     from pearstall.edge.attach import EdgeSide
 
-IDLE_PART = 0.7  # of the time after which a model server closes an idle link
-SPARE_SOCKETS = 64  # listeners, the watch, files, and links that are accepted before others are closed
-HELD_PART = 0.15  # of the memory, for the bodies of queries
-CLIENT_PART = 0.5  # of the other sockets
-# Links that clients have are kept for so long: another router may be down just now, and a front that deals
-# out new ones needs a while to take it in again. Clients invited off at once had nowhere to go.
-INVITE_AFTER = 1.5
-STAY = 2.0  # after SIGTERM new clients may still come for less than this
-QUIET = 0.5  # and the last one's query for less than this
-# A program asked to end may be killed once the longest deadline, but no more than 3 s, and 0.7 s are over.
-KILLED_AFTER = 3.0
-MOVE_AFTER = 2.75  # streams are handed on, where other routers take what comes
-LATE = 0.5  # what came so long after SIGTERM must be answered before the program is killed
-RELOAD_ATTEMPTS = 12  # while the file can't be read for a reason that passes
+IDLE_TIMEOUT_FRACTION = 0.7  # of the time after which a model server closes an idle connection
+RESERVED_SOCKETS = 64  # for listeners, the watch, files, and connections accepted before others are closed
+BODY_MEMORY_FRACTION = 0.15  # of the memory limit, for bodies of queries
+CLIENT_SOCKET_FRACTION = 0.5  # of the sockets that are not reserved
+# Client connections stay open this long after SIGTERM: another router may be restarting at that time, and a load
+# balancer takes a while to use it again. Clients that were disconnected at once found no other router.
+CLOSE_CLIENTS_AFTER_SECONDS = 1.5
+MIN_SHUTDOWN_SECONDS = 2.0  # after SIGTERM, new clients may still connect for almost this long
+QUIET_SECONDS = 0.5  # and a client that connected last sends its query sooner than this
+# After SIGTERM, the program may be killed once the longest deadline, counted as 3 s at most, and 0.7 s have passed.
+MAX_DEADLINE_SECONDS = 3.0
+MOVE_STREAMS_AFTER_SECONDS = 2.75  # streams move to other routers if those accept new queries
+LATE_ARRIVAL_SECONDS = 0.5  # after SIGTERM; later queries must be answered before the program is killed
+RELOAD_ATTEMPTS = 12  # while the file can't be read because of a transient error
 RELOAD_PAUSE_SECONDS = 0.25
-HASTE = 0.2  # past that deadline, what is still owed is ended, with half a second to spare
+HURRY_DELAY_SECONDS = 0.2  # after that deadline, open queries are ended, half a second before the kill
 
 
-def shares(sockets: int) -> tuple[int, int]:
-    """How many links to clients and to servers there may be at once."""
-    free = sockets - SPARE_SOCKETS if sockets > 2 * SPARE_SOCKETS else sockets // 2
-    clients = int(free * CLIENT_PART)
+def connection_limits(sockets: int) -> tuple[int, int]:
+    """The limits on concurrent connections to clients and to model servers."""
+    free = sockets - RESERVED_SOCKETS if sockets > 2 * RESERVED_SOCKETS else sockets // 2
+    clients = int(free * CLIENT_SOCKET_FRACTION)
     return clients, free - clients
 
 
-class Surroundings:
-    """What a program takes from the machine besides its loop's clock; a simulation brings its own."""
+class System:
+    """The operating system's services that a program uses besides its event loop; a simulation has its own."""
 
     async def listen(self, make: MakeProtocol, host: str, port: int, failed: Callable[[OSError], None]) -> Closable:
-        """An OSError where the place is taken."""
+        """Raises an OSError if the address is in use."""
         return await open_listener(make, host, port, failed)
 
     def now(self) -> float:
@@ -69,44 +69,44 @@
 
 
 class Program:
-    """One router. Made inside a running loop."""
+    """One router process. Must be created inside a running event loop."""
 
-    def __init__(self, config: Config, around: Surroundings | None = None, log: EventLog = SILENT) -> None:
+    def __init__(self, config: Config, system: System | None = None, log: EventLog = SILENT) -> None:
         self.config = config
-        self.around = around = around or Surroundings()
+        self.system = system = system or System()
         self.loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(self.loop)
         self.log = log
         self.counters = Counters()
-        clients, servers = shares(config.limits.sockets)
+        clients, servers = connection_limits(config.limits.sockets)
         limits = config.names.limits
         self.servers = ServerLinks(
             self.deadlines,
             self.counters,
             limits.connect_timeout / 1e6,
-            IDLE_PART * limits.conn_idle / 1e6,
+            IDLE_TIMEOUT_FRACTION * limits.conn_idle / 1e6,
             servers,
-            self._where,
+            self._resolve,
         )
         self.core = Core(config.settings, config.seed, self.deadlines, self.counters, self.servers)
         self.core.log = log
         self.servers.core = self.core
         subset = None
         if config.subset:
-            from pearstall.net.subset import Subset  # like the edge: off, and not imported, on the platform
+            from pearstall.net.subset import Subset  # optional, like the edge: not imported on the platform
 
             subset = Subset(config.subset, config.name)
-        self.cluster = Cluster(self.core, config.names, config.discovery, around.now, subset)
+        self.cluster = Cluster(self.core, config.names, config.discovery, system.now, subset)
         self.core.watch = self.cluster.subscribe
         self.core.server_name = lambda replica: self.cluster.names.get(replica, str(replica))
         self.clients = ClientLinks(self.core, self.counters, clients)
-        self.clients.most_held = int(config.limits.memory_mb * HELD_PART * (1 << 20))
+        self.clients.most_held = int(config.limits.memory_mb * BODY_MEMORY_FRACTION * (1 << 20))
         self.fronts: dict[tuple[str, int], PlatformFront | OpenAIFront] = {}
         if config.listen is not None:
             self.fronts[config.listen] = PlatformFront(config.names)
         if config.openai is not None and config.openai_listen is not None:
             self.fronts[config.openai_listen] = OpenAIFront(
-                config.openai, config.names, config.settings, around.make_id
+                config.openai, config.names, config.settings, system.make_id
             )
         self.form: ServerForm = PlatformServer()
         self.forms: dict[str, ServerForm] = {}
@@ -117,19 +117,19 @@
             self.forms = {kind: known[form] for kind, form in forms.server_forms.items()}
         self.edge: EdgeSide | None = None
         if config.operators is not None:
-            from pearstall.edge.attach import EdgeSide  # the platform's `run` names no such file
+            from pearstall.edge.attach import EdgeSide  # the platform's `run` command names no operators' file
 
-            self.edge = EdgeSide(config, self.core, self.clients, around.now)
+            self.edge = EdgeSide(config, self.core, self.clients, system.now)
         self.listeners: list[Closable] = []
         self.ended = asyncio.Event()
-        self.leaving_from = 0.0
-        self.invite_after = INVITE_AFTER
+        self.shutdown_started_at = 0.0
+        self.close_clients_after = CLOSE_CLIENTS_AFTER_SECONDS
 
-    def traced(self) -> None:
+    def enable_trace(self) -> None:
         from pearstall.net.trace import Trace
 
         classes = [lane.name for lane in self.config.names.lanes]
-        self.core.trace = Trace(self.deadlines, self.config.name, self.around.now, classes)
+        self.core.trace = Trace(self.deadlines, self.config.name, self.system.now, classes)
 
     async def start(self) -> None:
         settings = self.config.settings
@@ -141,29 +141,29 @@
             index=self.config.known.index,
             servers=len(self.config.known.hosts),
         )
-        self.cluster.told = self._listed
+        self.cluster.on_change = self._listed
         self.core.start()
         if self.config.known.hosts:
             self.cluster.take(self.config.known, ListKind.CACHED)
         if self.config.inventory is not None:
             self.cluster.load(self.config.inventory)
         makers: dict[tuple[str, int], MakeProtocol] = {
-            place: partial(ClientLink, self.clients, front) for place, front in self.fronts.items()
+            address: partial(ClientLink, self.clients, front) for address, front in self.fronts.items()
         }
         if self.edge is not None:
             makers |= self.edge.listeners()
         for (host, port), make in makers.items():
-            self.listeners.append(await self.around.listen(make, host, port, self._accept_failed))
+            self.listeners.append(await self.system.listen(make, host, port, self._accept_failed))
         self.log.event("router_listening", places=list(makers))
 
     def _accept_failed(self, error: OSError) -> None:
         self.counters.accept_failures += 1
         self.log.event("accept_failed", why=error.strerror or str(error))
 
-    def _where(self, replica: int) -> tuple[tuple[str, int], ServerForm] | None:
+    def _resolve(self, replica: int) -> tuple[tuple[str, int], ServerForm] | None:
         address = self.cluster.addresses.get(replica)
         if address is None or replica in self.cluster.draining:
-            return None  # nothing new goes there
+            return None  # accepts no new requests
         return address, self.forms.get(self.cluster.types.get(replica, ""), self.form)
 
     def _listed(self) -> None:
@@ -176,39 +176,41 @@
                 self.edge.ready()
 
     def leave(self) -> None:
-        """Asked to end: what was taken is answered first, and what still comes meanwhile."""
-        if not self.leaving_from:
-            self.leaving_from = self.loop.time()
+        """Starts the shutdown. Accepted queries are answered first, including those that still arrive."""
+        if not self.shutdown_started_at:
+            self.shutdown_started_at = self.loop.time()
             self.log.event("shutdown_begins", requests=len(self.core.queries), connections=len(self.clients.links))
-            self.deadlines.after(self.invite_after, self.clients.leave)
+            self.deadlines.after(self.close_clients_after, self.clients.leave)
             if self.edge is not None:
                 self.edge.leave()
             longest = max(klass.give_up for klass in self.core.settings.classes) / 1e6
             resumable = self.config.names.family.resume
             if resumable:
-                self.deadlines.after(MOVE_AFTER, self.core.move)
+                self.deadlines.after(MOVE_STREAMS_AFTER_SECONDS, self.core.move_streams)
             else:
-                self.deadlines.after(LATE, self.stop_taking)
-            hurry = min(longest, KILLED_AFTER) + HASTE
-            self.deadlines.after(hurry, partial(self.core.hurry, resumable, self.leaving_from + LATE))
-            self.deadlines.after(hurry, self.clients.hurry)
-            self._look()
-
-    def stop_taking(self) -> None:
-        """Where clients don't ask for the rest of a stream, one begun now would neither end before the program is
-        killed nor may it be cut: its client is better served by another router."""
-        self.core.stop_taking()
+                self.deadlines.after(LATE_ARRIVAL_SECONDS, self.stop_accepting)
+            hurry_after = min(longest, MAX_DEADLINE_SECONDS) + HURRY_DELAY_SECONDS
+            self.deadlines.after(
+                hurry_after, partial(self.core.hurry, resumable, self.shutdown_started_at + LATE_ARRIVAL_SECONDS)
+            )
+            self.deadlines.after(hurry_after, self.clients.hurry)
+            self._check_finished()
+
+    def stop_accepting(self) -> None:
+        """Refuses new queries where clients can't resume a stream: one that begins now would not end before the
+        program is killed, and must not be cut. Another router serves such clients better."""
+        self.core.stop_accepting()
         self.clients.leave()
 
-    def _look(self) -> None:
+    def _check_finished(self) -> None:
         now = self.loop.time()
-        stayed = now - self.leaving_from >= STAY and now - self.clients.latest >= QUIET
-        owing = any(link.closing or not link.idle or link.unsent for link in self.clients.links)
+        quiet = now - self.shutdown_started_at >= MIN_SHUTDOWN_SECONDS and now - self.clients.latest >= QUIET_SECONDS
+        busy = any(link.closing or not link.idle or link.unsent for link in self.clients.links)
         settled = self.edge is None or self.edge.settled
-        if stayed and not len(self.core.queries) and not owing and settled:
+        if quiet and not len(self.core.queries) and not busy and settled:
             self.ended.set()
         else:
-            self.deadlines.after(0.05, self._look)
+            self.deadlines.after(0.05, self._check_finished)
 
     async def close(self) -> None:
         for listener in self.listeners:
@@ -217,12 +219,12 @@
             link.close()
         if self.edge is not None:
             self.edge.close()
-        await asyncio.sleep(0.02)  # what was written last is on its way
+        await asyncio.sleep(0.02)  # lets the last writes leave the process
         self.cluster.subscribe(False)
         self.servers.close()
 
     def exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What no connection stopped: a line and a count, and the program goes on."""
+        """Logs and counts an exception that no connection handled; the program continues."""
         self.counters.exceptions += 1
         error = context.get("exception")
         if isinstance(error, Exception):
@@ -236,12 +238,12 @@
         self.log.flush()
 
     def reload(self, attempts: int = RELOAD_ATTEMPTS) -> None:
-        """Reads the configuration again, under load. What can't be read changes nothing."""
+        """Reads the configuration again while serving. An invalid one is refused and changes nothing."""
         try:
-            found = read_again(self.config)
-            changed = renumber(self.config, found)
+            updated = reread_config(self.config)
+            renumbering = renumber(self.config, updated)
         except ConfigError as error:
-            if error.passing and attempts > 1:
+            if error.transient and attempts > 1:
                 self.log.event("reload_put_off", why=str(error))
                 self.deadlines.after(RELOAD_PAUSE_SECONDS, partial(self.reload, attempts - 1))
                 return
@@ -249,29 +251,29 @@
             self.log.event("reload_refused", why=str(error))
         else:
             self.counters.reloads += 1
-            self.log.event("reloaded", discovery=found.discovery)
-            self._adopt(found, changed)
+            self.log.event("reloaded", discovery=updated.discovery)
+            self._apply_config(updated, renumbering)
         if self.config.inventory is not None:
             self.cluster.load(self.config.inventory)
 
-    def _adopt(self, found: Config, changed: Renumbering | None) -> None:
-        """A configuration that was read whole and checked: nothing of it can fail any more."""
-        self.config = found
-        if changed is not None:
-            self.core.reconfigure(found.settings, changed.classes, changed.tenants)
+    def _apply_config(self, updated: Config, renumbering: Renumbering | None) -> None:
+        """Applies a configuration that was read and checked as a whole, so that no step can fail."""
+        self.config = updated
+        if renumbering is not None:
+            self.core.reconfigure(updated.settings, renumbering.classes, renumbering.tenants)
             for front in self.fronts.values():
                 if isinstance(front, OpenAIFront):
-                    front.adopt(found.names, found.settings)
+                    front.adopt(updated.names, updated.settings)
                 else:
-                    front.adopt(found.names)
-            links = found.names.limits
+                    front.adopt(updated.names)
+            links = updated.names.limits
             self.servers.connect_limit = links.connect_timeout / 1e6
-            self.servers.idle_limit = IDLE_PART * links.conn_idle / 1e6
-        self.clients.most, self.servers.most = shares(found.limits.sockets)
-        self.clients.most_held = int(found.limits.memory_mb * HELD_PART * (1 << 20))
-        self.cluster.follow(found.discovery)
+            self.servers.idle_limit = IDLE_TIMEOUT_FRACTION * links.conn_idle / 1e6
+        self.clients.most, self.servers.most = connection_limits(updated.limits.sockets)
+        self.clients.most_held = int(updated.limits.memory_mb * BODY_MEMORY_FRACTION * (1 << 20))
+        self.cluster.change_discovery(updated.discovery)
         if self.edge is not None:
-            self.edge.reload(found)
+            self.edge.reload(updated)
 
 
 async def run(config: Config, traced: bool = False) -> None:
@@ -279,7 +281,7 @@
     program = Program(config, log=log)
     log.scheduler = program.deadlines
     if traced:
-        program.traced()
+        program.enable_trace()
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(program.exception)
     loop.add_signal_handler(signal.SIGTERM, program.leave)
--- a/pearstall/net/server_link.py
+++ b/pearstall/net/server_link.py
@@ -57,7 +57,7 @@
         self.splitter = EventSplitter()
         self.kept = 0
         self.ahead = 0  # 1xx answers
-        self.passed = self.ended = False
+        self.received = self.ended = False
         self.blame: list[bytes] = []  # the body of an error
         self.deadline: Deadline | None = None  # of the connect, then of being idle
         self.idle_since = 0.0
@@ -71,7 +71,7 @@
         self.head = self.body = None
         self.splitter = EventSplitter()
         self.kept = self.ahead = 0
-        self.passed = self.ended = False
+        self.received = self.ended = False
         self.blame = []
         self.written = False
         if self.transport is not None:
@@ -114,7 +114,7 @@
         """While it came up, its client may have gone, its time passed, or its server begun to drain."""
         found = self.owner.where(execution.replica)
         listed = found is not None and found[0] == self.address
-        return self.owner.core.wanted(execution, listed)
+        return self.owner.core.still_needed(execution, listed)
 
     def _note(self, what: str) -> None:
         if (trace := self.owner.core.trace) is not None and self.execution is not None:
@@ -124,7 +124,7 @@
         assert self.transport is not None and self.execution is not None
         self.written = True
         # Worded now: on a connection that came up late, less time is left than when it was asked for.
-        left = self.execution.until - self.owner.deadlines.clock.time()
+        left = self.execution.expires_at - self.owner.deadlines.clock.time()
         self.transport.write(self.form.request(self.execution.query, self.address, left))
 
     def pause_writing(self) -> None:
@@ -213,9 +213,9 @@
         if events and self.execution is not None:
             kept = self.form.kept_tokens(events)
             self.kept = self.kept if kept is None else kept
-            self.passed = True
+            self.received = True
             self.ended = events.rstrip().endswith(b"[DONE]")
-            self.owner.core.passed(self.execution, events)
+            self.owner.core.received(self.execution, events)
 
     def _stream_end(self) -> None:
         rest = self.splitter.rest
@@ -227,7 +227,7 @@
                 self.fail("an event that is none")
                 return
             self._pass_on(rest)
-        if not self.passed:
+        if not self.received:
             self.fail("a stream without an event")
         elif self.body is not None and self.body.until_close and not self.ended:
             self.fail("the link ended before the stream")  # nothing else tells its end from a break
--- a/pearstall/net/slots.py
+++ b/pearstall/net/slots.py
@@ -1,4 +1,5 @@
-"""Tables of numbered slots. A handle names a slot and its generation, so that an old one finds nothing."""
+"""Slot tables. A handle encodes a slot's index and generation, so that the handle of a removed item is never valid
+again."""
 
 from __future__ import annotations
 
@@ -28,7 +29,7 @@
         else:
             index = len(self._items)
             if index > INDEX_MASK:
-                raise OverflowError("every slot is taken")
+                raise OverflowError("all slots are in use")
             self._items.append(None)
             self._generations.append(0)
         self._items[index] = item
--- a/tests/edge_support.py
+++ b/tests/edge_support.py
@@ -123,7 +123,7 @@
                 break
             self.clock.move(0.05)
         (one,) = self.running(id, device)
-        self.core.passed(one, b"".join(map(event, numbers)))
+        self.core.received(one, b"".join(map(event, numbers)))
 
     def end(self, end: End | None = None, id: str = "a", device: str = "d") -> None:
         (one,) = self.running(id, device)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -52,7 +52,7 @@
 
 async def streaming(program: Program) -> None:
     """Until a first event was passed on."""
-    await until(lambda: any(query.passed for query in program.core.queries))
+    await until(lambda: any(query.forwarded for query in program.core.queries))
 
 
 def no_delay(transport: asyncio.BaseTransport | None) -> bool:
@@ -178,8 +178,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Those under way run on to their end; a new one would be cut by it, and with it lost."""
-    assert serve.LATE < 0.7  # what comes later has to be answered before the kill
-    monkeypatch.setattr(serve, "LATE", 0.0)
+    assert serve.LATE_ARRIVAL_SECONDS < 0.7  # what comes later has to be answered before the kill
+    monkeypatch.setattr(serve, "LATE_ARRIVAL_SECONDS", 0.0)
 
     async def scene() -> None:
         async with routed(tmp_path, "wait") as (server, program, port):
@@ -187,7 +187,7 @@
             await first.send()
             await streaming(program)
             program.leave()
-            await until(lambda: not program.core.taking)
+            await until(lambda: not program.core.accepting)
             kind, head, _ = await second.ask()
             assert kind == "refused" and not head.keeps and len(server.seen) == 1
             server.go_on.set()
@@ -285,10 +285,10 @@
     scene = Scene()
     query = scene.ask()
     (attempt,) = scene.out
-    scene.clock.now = attempt.until
-    assert not scene.core.wanted(attempt, True)
+    scene.clock.now = attempt.expires_at
+    assert not scene.core.still_needed(attempt, True)
     assert attempt.ended and scene.counters.outcomes == {"moot": 1}
-    assert query.out == len(scene.out) - 1  # nothing is out, or another one
+    assert query.in_flight == len(scene.out) - 1  # nothing is out, or another one
 
 
 @pytest.mark.parametrize("after", [0.0, 0.5, 0.6, 0.7, 0.999, 1.0, 1.1])
@@ -452,11 +452,11 @@
             link = ClientLink(program.clients, program.fronts[LOCAL, ports["platform"]])
             transport = SlowTransport()
             link.connection_made(transport)
-            program.leaving_from = program.clients.latest = program.loop.time() - 60.0
-            program._look()
+            program.shutdown_started_at = program.clients.latest = program.loop.time() - 60.0
+            program._check_finished()
             assert not program.ended.is_set()
             transport.unread = 0
-            program._look()
+            program._check_finished()
             assert program.ended.is_set()
             link.connection_lost(None)
 
@@ -512,10 +512,10 @@
             await client.send()
             await streaming(program)
             program.leave()
-            first = program.leaving_from
+            first = program.shutdown_started_at
             program.reload()
             program.leave()
-            assert program.leaving_from == first and not program.ended.is_set()
+            assert program.shutdown_started_at == first and not program.ended.is_set()
             server.go_on.set()
             assert (await client.answer())[0] == "served"
             client.close()
@@ -529,7 +529,7 @@
     silent: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The whole list is asked for again, as versions of the new discovery may be counted anew."""
-    monkeypatch.setattr("pearstall.net.cluster.SILENCE", 0.1)
+    monkeypatch.setattr("pearstall.net.cluster.WATCH_SILENCE_SECONDS", 0.1)
 
     async def scene() -> None:
         old = Discovery([message(GOOD, index=6), b"wait", b"end"])
--- a/tests/test_edge_sessions.py
+++ b/tests/test_edge_sessions.py
@@ -341,14 +341,14 @@
     @rule(device=devices, id=ids, count=st.integers(1, 4))
     def serve(self, device: str, id: str, count: int) -> None:
         for one in self.scene.running(id, device):
-            begun = self.made.get(one.query.txn, 0) if one.started else 0
+            begun = self.made.get(one.query.txn, 0) if one.streaming else 0
             self.made[one.query.txn] = begun + count
-            self.scene.core.passed(one, b"".join(event(n) for n in range(begun + 1, begun + count + 1)))
+            self.scene.core.received(one, b"".join(event(n) for n in range(begun + 1, begun + count + 1)))
 
     @rule(device=devices, id=ids, end=st.sampled_from([Served(), BREAK, ERROR]))
     def finish(self, device: str, id: str, end: End) -> None:
         for one in self.scene.running(id, device):
-            self.scene.core.ended(one, end if one.started and end != ERROR else ERROR)
+            self.scene.core.ended(one, end if one.streaming and end != ERROR else ERROR)
 
     @rule(seconds=st.sampled_from([0.05, 0.6, 2.0, 6.0]))
     def wait(self, seconds: float) -> None:
@@ -372,7 +372,7 @@
         assert sessions.held.running_away == len(sessions.running_away)
         assert sessions.held.ended_away == len(sessions.ended_away)
         assert sessions.held.tombstones == len(sessions.graves) == sum(len(s.tombs or ()) for s in sessions)
-        assert sum(1 for query in core.queries if not query.over) == sessions.running
+        assert sum(1 for query in core.queries if not query.finished) == sessions.running
         for ask in asks:
             assert (ask.owner is not None) == (ask.state in HELD)
             assert (ask.query is not None) == (ask.state in RUNNING) == (ask.final is None)
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -124,7 +124,7 @@
             assert (await idle.ask())[0] == "served"
             await busy.send()
             await until(lambda: len(server.seen) == 2)
-            program.invite_after = 1.0
+            program.close_clients_after = 1.0
             program.leave()
             # Links are kept for now: the only other router may be down, and clients had nowhere to go.
             kind, head, _ = await idle.ask()
@@ -390,7 +390,8 @@
             body = b"{}"
             end.sendall(
                 f"POST {PATH} HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: chat\r\nX-Remaining: 3\r\n"
-                f"Content-Length: {len(body)}\r\n\r\n".encode() + body
+                f"Content-Length: {len(body)}\r\n\r\n".encode()
+                + body
             )
             end.close()
             await until(lambda: program.counters.clients_gone == 1)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Configuration, inventories, and discovery's watch."""
+"""The configuration, inventories, and discovery's watch."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"index":1}', b"\xff\xfe", message(index="x")])
-def test_a_broken_list_is_a_value(data: bytes) -> None:
+def test_an_invalid_list_is_reported_as_a_value(data: bytes) -> None:
     assert isinstance(read_host_list(data), BadList)
 
 
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize(("read", "text", "skipped"), [(read_yaml, YAML_LIST, 1), (read_yaml, YAML_GROUPS, 1),
                                                        (read_csv, CSV, 2)])  # fmt: skip
-def test_an_inventory_is_read_as_configuration_tools_keep_it(read: Any, text: str, skipped: int) -> None:
+def test_an_inventory_is_read_as_configuration_tools_write_it(read: Any, text: str, skipped: int) -> None:
     found = read(text)
     assert isinstance(found, HostList) and found.skipped == skipped
     (host,) = found.hosts
@@ -69,11 +69,11 @@
 
 @pytest.mark.parametrize(("read", "text"), [(read_yaml, "a: [1"), (read_yaml, "7"), (read_yaml, "a: 7"),
                                             (read_csv, ""), (read_csv, "a,b\n1,2\n")])  # fmt: skip
-def test_a_broken_inventory_is_a_value(read: Any, text: str) -> None:
+def test_an_invalid_inventory_is_reported_as_a_value(read: Any, text: str) -> None:
     assert isinstance(read(text), BadList)
 
 
-def test_an_inventory_that_breaks_keeps_the_list_held(tmp_path: Path) -> None:
+def test_an_inventory_that_becomes_unreadable_keeps_the_current_list(tmp_path: Path) -> None:
     async def scene() -> None:
         async with AsyncExitStack() as stack:
             server = await stack.enter_async_context(ModelServer("platform").listening())
@@ -87,7 +87,7 @@
 
 
 class Discovery:
-    """Answers each watch with its next script of lines; after the last line it is silent."""
+    """Answers each watch with the next script of lines, then keeps the connection open and sends nothing."""
 
     def __init__(self, *scripts: list[bytes]) -> None:
         self.scripts, self.asked = list(scripts), list[str]()
@@ -114,20 +114,20 @@
         writer.close()
 
 
-def test_the_watch_tells_changes_at_once_and_comes_back_from_the_index_held(tmp_path: Path) -> None:
+def test_the_watch_reports_changes_at_once_and_resumes_from_the_current_index(tmp_path: Path) -> None:
     async def scene() -> None:
         async with AsyncExitStack() as stack:
             server = await stack.enter_async_context(ModelServer("platform").listening())
-            here = GOOD | {"address": f"{LOCAL}:{server.port}", "since_ms": 5000}
-            drains = message(here | {"status": "draining"}, {"nonsense": 1}, index=5, snapshot=False)
-            first = [message(here), b"", b"wait", drains, b"end"]
-            discovery = Discovery(first, [b"broken"], [message(here, index=9)])
+            ready_entry = GOOD | {"address": f"{LOCAL}:{server.port}", "since_ms": 5000}
+            drained = message(ready_entry | {"status": "draining"}, {"nonsense": 1}, index=5, snapshot=False)
+            first = [message(ready_entry), b"", b"wait", drained, b"end"]
+            discovery = Discovery(first, [b"broken"], [message(ready_entry, index=9)])
             listener = await asyncio.start_server(discovery.link, LOCAL, 0)
             port = listener.sockets[0].getsockname()[1]
             program, _ = await stack.enter_async_context(running(tmp_path, [], discovery=port))
-            told: list[Any] = []
-            tell = program.core.router.handle
-            program.core.router.handle = lambda now, event: told.append(event) or tell(now, event)  # type: ignore
+            events: list[Any] = []
+            handle = program.core.router.handle
+            program.core.router.handle = lambda now, event: events.append(event) or handle(now, event)  # type: ignore
             await until(lambda: bool(program.cluster.addresses))
             id = number_of("s1")
             assert program.core.router.replicas[id].ready
@@ -136,9 +136,9 @@
             await until(lambda: program.cluster.index == 9)
             path = "/catalog/members?stream=1"
             assert discovery.asked == [path, f"{path}&index=5", f"{path}&index=5"]
-            lists = [event for event in told if isinstance(event, ReplicaList)]
+            lists = [event for event in events if isinstance(event, ReplicaList)]
             starts = {entry.started for event in lists for entry in event.replicas}
-            assert len(starts) == 1 and program.core.router.replicas[id].ready  # one start, told as one
+            assert len(starts) == 1 and program.core.router.replicas[id].ready  # reported several times, one start
             assert program.counters.list_entries_skipped == 1 and program.counters.list_failures == 2
             listener.close()
 
@@ -151,15 +151,15 @@
     assert {host.name: host.status for host in found.hosts} == {"s1": "draining", "s2": "ready"}
 
 
-@pytest.mark.parametrize("form", ["one line", "lines", "lines further in", "broken off"])
+@pytest.mark.parametrize("form", ["one line", "lines", "lines indented further", "broken off"])
 def test_a_message_may_be_indented_over_lines_but_not_break_off(form: str, tmp_path: Path) -> None:
-    """Heartbeats behind half a message would keep a watch alive whose news is lost."""
+    """Heartbeats after half a message would keep a watch alive whose change is lost."""
 
     async def scene() -> None:
         cut, whole = form == "broken off", message(GOOD, index=6)
         indented = json.dumps(json.loads(whole), indent=1).encode()
-        further = b"  " + indented.replace(b"\n", b"\n  ")
-        forms = {"one line": b"  " + whole, "lines": indented, "lines further in": further}
+        indented_further = b"  " + indented.replace(b"\n", b"\n  ")
+        forms = {"one line": b"  " + whole, "lines": indented, "lines indented further": indented_further}
         discovery = Discovery([forms.get(form, indented[:60]), b"", b""], [message(GOOD, index=7)])
         listener = await asyncio.start_server(discovery.link, LOCAL, 0)
         port = listener.sockets[0].getsockname()[1]
@@ -171,8 +171,8 @@
     asyncio.run(scene())
 
 
-def test_a_watch_without_its_lines_is_dead(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("pearstall.net.cluster.SILENCE", 0.1)
+def test_a_silent_watch_fails_and_is_opened_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("pearstall.net.cluster.WATCH_SILENCE_SECONDS", 0.1)
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
@@ -182,15 +182,15 @@
             program, _ = await stack.enter_async_context(running(tmp_path, [], discovery=port))
             await until(lambda: len(discovery.asked) >= 2)
             assert discovery.asked[1].endswith("&index=6") and program.counters.list_failures >= 1
-            assert number_of("s1") in program.cluster.addresses  # the list held stays
+            assert number_of("s1") in program.cluster.addresses  # the current list stays
             listener.close()
 
     asyncio.run(scene())
 
 
-def test_sighup_follows_discovery_to_its_new_address_and_drops_nothing(tmp_path: Path) -> None:
-    """The environment still names the old address, and a new discovery may count its lists anew. A file that
-    can't be read changes nothing; a watch on the old address would be asked for until the program's end."""
+def test_sighup_switches_to_discovery_at_a_new_address_and_drops_no_request(tmp_path: Path) -> None:
+    """The environment still names the old address, and a new discovery may start its index anew. A file that can't be
+    read changes nothing; without the switch, the old address would be watched until the program ends."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
@@ -215,7 +215,7 @@
                 path.write_text(text)
                 program.reload()
             assert program.cluster.discovery == (LOCAL, ports[0]) and len(old.asked) == 1
-            for _ in "ab":  # the second time nothing is new
+            for _ in "ab":  # the second reload changes nothing
                 path.write_text(json.dumps(good | {"discovery": f"{LOCAL}:{ports[1]}"}))
                 program.reload()
             await until(lambda: number_of("s1") in program.cluster.addresses)
@@ -229,10 +229,10 @@
 
 
 @pytest.mark.parametrize("leaving_first", [False, True])
-def test_sighup_with_other_classes_and_sigterm_in_either_order_answer_what_was_taken(
+def test_sighup_with_other_classes_and_sigterm_in_either_order_answer_accepted_requests(
     leaving_first: bool, tmp_path: Path
 ) -> None:
-    """Classes take a restart: what is out is answered by those it came with, whichever signal comes first."""
+    """Requests in flight are answered under the classes they arrived with, whichever signal comes first."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
@@ -240,7 +240,7 @@
             program, ports = await stack.enter_async_context(running(tmp_path, [server]))
             client = Client("platform", ports["platform"])
             waiting = asyncio.create_task(client.ask())
-            await until(lambda: any(query.passed for query in program.core.queries))
+            await until(lambda: any(query.forwarded for query in program.core.queries))
             raw = json.loads((tmp_path / "config.json").read_text())
             raw["settings"]["lanes"][1] |= {"value": 0, "aim": 0}
             raw["settings"]["lanes"][0]["name"] = "other"
@@ -249,7 +249,7 @@
                 signal_()
             server.go_on.set()
             assert (await waiting)[0] == "served"
-            assert (await client.ask())[0] == "served"  # by the class as it was
+            assert (await client.ask())[0] == "served"  # under its previous class
             assert program.counters.reloads == 1 and program.counters.exceptions == 0
             client.close()
 
@@ -269,14 +269,14 @@
     [{"listen": "nowhere"}, {"listen": ""}, {"seed": "xyz"}, {"settings": {}}, {"settings": 3},
      {"settings": setup(tick="soon")}, {"limits": {"sockets": "many"}}, {"discovery": ""}],
 )  # fmt: skip
-def test_a_bad_configuration_is_one_line(changes: dict[str, Any], tmp_path: Path) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line(changes: dict[str, Any], tmp_path: Path) -> None:
     with pytest.raises(ConfigError) as raised:
         read_config({}, config=str(config_file(tmp_path, **changes)))
     assert "\n" not in str(raised.value) and str(raised.value)
 
 
 def test_a_key_that_is_null_counts_as_absent(tmp_path: Path) -> None:
-    """Another operator's settings may name what they don't use, with null for its value."""
+    """Settings may list unused keys with null as their value."""
     nulls = {"limits": {"maxAttempts": None, "connIdle": None}, "charges": None, "accounts": None, "tick": None}
     lane = {"name": "chat", "aim": 1, "hardLimit": 2, "window": None, "effect": None, "value": None}
     path = config_file(tmp_path, name=None, limits=None, known=None, settings=setup(lanes=[lane], **nulls))
@@ -287,7 +287,7 @@
     assert found.settings == read_config({}, config=str(path)).settings and found.limits == Limits()
 
 
-def test_a_second_front_of_the_old_form_that_is_wrong_is_told(tmp_path: Path) -> None:
+def test_errors_in_the_old_form_of_the_openai_front_are_reported(tmp_path: Path) -> None:
     given = str(config_file(tmp_path))
     assert read_config({}, config=given).openai_listen is None
     for text in ("listen = 7", 'listen = "127.0.0.1:1"\ndefault_class = "none"', "what", 'other = "1"',
@@ -302,7 +302,7 @@
     return subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True, env=os.environ | env)
 
 
-def test_the_program_ends_with_one_line_where_it_cannot_start(tmp_path: Path) -> None:
+def test_the_program_ends_with_one_line_if_it_cannot_start(tmp_path: Path) -> None:
     for words in ([], ["--config", str(tmp_path / "none")]):
         _, errors = start(*words, EDGE_CONFIG="").communicate(timeout=60)
         assert errors.startswith("pearstall: ") and errors.count("\n") == 1
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -1,4 +1,4 @@
-"""A configuration that is read again under load: taken whole, or refused whole with one line that names the field."""
+"""A reload under load applies the whole configuration, or refuses all of it with one line that names the field."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class LaneClient(Client):
-    """Asks in a class of its own."""
+    """A client whose requests name a class."""
 
     async def ask_in(self, lane: str, **fields: Any) -> int:
         wire = await self.connect()
@@ -41,12 +41,12 @@
 
 
 def classes_in_use(program: Program) -> list[int]:
-    """The aims of the open requests, in milliseconds."""
+    """The aims of the open requests' classes, in milliseconds."""
     return [call.klass.aim // MS for call in program.core.router.pending.values()]
 
 
 def test_classes_in_another_order_keep_their_meaning(tmp_path: Path) -> None:
-    """By number, one class would be served under the other's deadlines."""
+    """Matched by number instead of name, one class would be served under the other's deadlines."""
 
     async def scene() -> None:
         async with ModelServer("platform", "hold").listening() as server:
@@ -58,7 +58,7 @@
                 write_settings(tmp_path, lanes=list(reversed(setup()["lanes"])))
                 program.reload()
                 assert program.counters.reloads == 1
-                assert classes_in_use(program) == [1000]  # it ends under what it began with
+                assert classes_in_use(program) == [1000]  # the open request keeps its class
                 client = LaneClient("platform", ports["platform"], "after")
                 assert await client.ask_in("agent") == 200
                 assert await client.ask_in("chat") == 200
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("front", ["platform", "openai"])
 def test_a_class_that_was_added_is_served_and_one_that_was_removed_is_unknown(front: str, tmp_path: Path) -> None:
-    """A new class was answered as malformed for good."""
+    """Requests of a new class were answered as malformed even after a reload."""
 
     async def scene() -> None:
         async with ModelServer("platform").listening() as server, running(tmp_path, [server]) as (program, ports):
@@ -86,7 +86,7 @@
     asyncio.run(scene())
 
 
-def test_limits_and_tenants_hold_from_the_reload_on(tmp_path: Path) -> None:
+def test_limits_and_tenants_apply_from_the_reload_on(tmp_path: Path) -> None:
     async def scene() -> None:
         limits = setup()["limits"] | {"maxAttempts": 1, "connectTimeout": 90_000, "connIdle": 10_000_000}
         failing = ModelServer("platform", "error", "error", "error", "error", "serve")
@@ -121,22 +121,22 @@
 
 
 @pytest.mark.parametrize(("changes", "field"), BAD)
-def test_what_cannot_be_taken_changes_nothing_and_is_one_line(
+def test_a_refused_configuration_changes_nothing_and_is_reported_in_one_line(
     changes: dict[str, Any], field: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scene() -> None:
         async with ModelServer("platform").listening() as server, running(tmp_path, [server]) as (program, ports):
-            held = program.config
+            current = program.config
             path = tmp_path / "config.json"
             good = json.loads(path.read_text())
             path.write_text(json.dumps(good | {"limits": {"sockets": 300}, "settings": setup(**changes)}))
             capsys.readouterr()
             program.reload()
-            told = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
-            (refusal,) = [row for row in told if row["event"] != "server_list"]  # the inventory is read again as well
+            rows = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
+            (refusal,) = [row for row in rows if row["event"] != "server_list"]  # the inventory is read again as well
             assert refusal["event"] == "reload_refused" and field in refusal["why"]
-            assert program.config is held and program.counters.reload_failures == 1
-            assert program.clients.most > 300 and program.core.settings is held.settings
+            assert program.config is current and program.counters.reload_failures == 1
+            assert program.clients.most > 300 and program.core.settings is current.settings
             assert await LaneClient("platform", ports["platform"]).ask_in("agent") == 200
 
     asyncio.run(scene())
@@ -149,7 +149,7 @@
     assert [klass.aim_per_1000_tokens for klass in read.classes] == [30_000.0, 0.0]
 
 
-def test_numbers_before_are_found_by_name() -> None:
+def test_previous_numbers_are_found_by_name() -> None:
     before = [Named("a"), Named("b"), Named("c")]
     assert previous_numbers(before, [Named("c"), Named("new"), Named("a")]) == [2, NEW, 0]
     assert previous_numbers([], before) == [NEW] * 3
@@ -162,10 +162,10 @@
 SHARES = {"tenant_shares": [0.7, 0.3]}
 
 
-def test_what_was_learned_of_a_class_goes_with_its_name_and_open_requests_stay_what_they_were() -> None:
+def test_estimates_of_a_class_follow_its_name_and_open_requests_keep_their_class() -> None:
     gateway = Gateway(settings(ONE, TWO, **SHARES), 4)
     router = gateway.router
-    for _ in range(3):  # the second class misses its aims
+    for _ in range(3):  # requests of the second class miss their aim
         id, _ = gateway.request(class_index=1)
         gateway.outcome(id, Result.TIMEOUT, took=S, done=True)
     open_call, _ = gateway.request(class_index=0)
@@ -181,11 +181,11 @@
     assert not refused(actions) and router.pending[id].klass.aim == 1 * S
 
 
-def test_a_class_that_is_gone_ends_its_open_requests_and_takes_no_other() -> None:
+def test_a_removed_class_ends_its_open_requests_and_accepts_no_others() -> None:
     gateway = Gateway(settings(ONE, TWO), 4)
     id, _ = gateway.request(class_index=1)
     gateway.router.reconfigure(settings(ONE), [0], [])
-    gateway.outcome(id, Result.ERROR)  # it is tried again, as its class was
+    gateway.outcome(id, Result.ERROR)  # retried under its previous class
     assert len(gateway.attempts[id]) == 2
     gateway.first_token(id)
     gateway.outcome(id, Result.OK)
--- a/tests/test_restart_membership.py
+++ b/tests/test_restart_membership.py
@@ -1,4 +1,4 @@
-"""What a router that starts again does with the list of servers it had, with real processes and signals."""
+"""How a restarted router uses its earlier list of servers, with real processes and signals."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.support import MS, S, settings
 
 ROUTERS = 200
-LAST = ROUTERS - 1  # its first call to discovery comes last
+LAST = ROUTERS - 1  # the last of the group to call discovery after a start
 DRAIN_GRACE_SECONDS = 0.5
 OBLIGATIONS = {"mustAskIn": 10_000_000, "cold": 21_000_000, "coldShare": 0.12, "tipMultiple": 3.0}
 
@@ -29,13 +29,13 @@
             "status": status, "weight": 1.0, "since_ms": 0}  # fmt: skip
 
 
-async def ask_until(client: Client, kinds: list[str], end: float) -> None:
-    """One request after another, each on a connection that the router keeps or not."""
+async def ask_until(client: Client, results: list[str], end: float) -> None:
+    """Sends one request after another; the router may close the connection between them."""
     while asyncio.get_running_loop().time() < end:
         try:
-            kinds.append((await client.ask(2.0))[0])
+            results.append((await client.ask(2.0))[0])
         except (AssertionError, OSError):
-            kinds.append("lost")
+            results.append("lost")
             client.close()
         await asyncio.sleep(0.02)
 
@@ -60,17 +60,17 @@
                 tmp_path, {"discovery": f"{LOCAL}:{discovery.address[1]}", "known": known, "settings": settings}
             )
             stack.callback(router.kill)
-            discovery.put(row(servers[0], status))  # the router is down, and has the list from before
+            discovery.put(row(servers[0], status))  # while the router is down; its list is the earlier one
             router.start()
             await router.until_listening(20)
             listening_at = asyncio.get_running_loop().time()
-            kinds: list[str] = []
+            results: list[str] = []
             clients = [Client("platform", router.port, f"c{number}-") for number in range(4)]
-            await asyncio.gather(*(ask_until(client, kinds, listening_at + 6.0) for client in clients))
+            await asyncio.gather(*(ask_until(client, results, listening_at + 6.0) for client in clients))
             executions = [one for made in books.by_txn.values() for one in made]
             late = [one for one in executions if one.server == 0 and one.began > listening_at + DRAIN_GRACE_SECONDS]
             assert not late, f"{len(late)} of {len(executions)}, the last {late[-1].began - listening_at:.2f} s late"
-            assert "served" in kinds and "lost" not in kinds
+            assert "served" in results and "lost" not in results
             assert await router.health() == 200
 
     asyncio.run(scene())
@@ -85,9 +85,9 @@
     assert Subscribe() in router.handle(called_at, Timer(SUBSCRIBE_TAG))
     (again,) = router.handle(called_at + MS, ReplicaList(ListKind.FAILED))
     assert isinstance(again, SetTimer) and again.delay < 500 * MS and not router.list_verified
-    held = router.handle(called_at + 2 * MS, Request(1, 0, called_at + 5 * S, 50.0))
-    assert not any(isinstance(action, Send) for action in held)
+    queued = router.handle(called_at + 2 * MS, Request(1, 0, called_at + 5 * S, 50.0))
+    assert not any(isinstance(action, Send) for action in queued)
     called_again_at = called_at + MS + again.delay
     assert Subscribe() in router.handle(called_again_at, Timer(SUBSCRIBE_TAG))
-    sent = router.handle(called_again_at + MS, ReplicaList(ListKind.FAILED))  # nobody can be reached there
+    sent = router.handle(called_again_at + MS, ReplicaList(ListKind.FAILED))  # discovery can't be reached
     assert router.list_verified and any(isinstance(action, Send) for action in sent)
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -1,4 +1,4 @@
-"""A router starts and reloads all the same while its address is taken or its configuration can't be read."""
+"""A router starts and reloads although its address is in use or its configuration can't be read for a while."""
 
 from __future__ import annotations
 
@@ -19,9 +19,7 @@
 
 
 @pytest.mark.parametrize("faults", ['{"bind_failures": 4}', '{"file_failures": 4}'])
-def test_a_start_survives_an_address_that_is_taken_and_a_file_that_cannot_be_read(
-    faults: str, tmp_path: Path
-) -> None:
+def test_a_start_survives_an_address_in_use_and_a_file_that_cannot_be_read(faults: str, tmp_path: Path) -> None:
     async def scene() -> None:
         discovery = Discovery((LOCAL, free_ports(1)[0]))
         discovery.put(SERVER)
@@ -38,7 +36,7 @@
     asyncio.run(scene())
 
 
-def test_a_reload_whose_file_cannot_be_read_is_made_when_it_can(tmp_path: Path) -> None:
+def test_a_reload_whose_file_cannot_be_read_is_retried(tmp_path: Path) -> None:
     async def scene() -> None:
         old, new = (Discovery((LOCAL, free_ports(1)[0])) for _ in range(2))
         for discovery in (old, new):
