--- a/pearstall/edge/http.py
+++ b/pearstall/edge/http.py
@@ -156,7 +156,7 @@
 
     def reply(self, reply: Reply, last: bool = False) -> None:
         head = self.head
-        last = last or (head is not None and not head.keeps) or bool(self.edge.leaving_at)
+        last = last or (head is not None and not head.keep_alive) or bool(self.edge.leaving_at)
         if head is not None and head.method == "HEAD":
             reply.body = b""
         origin = head.headers.get("origin", "") if head is not None else ""
--- a/pearstall/edge/link.py
+++ b/pearstall/edge/link.py
@@ -67,7 +67,7 @@
         return False
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.room()
+        return self.buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
         self.buffer.wrote(nbytes)
@@ -84,7 +84,7 @@
             log_exception(self.owner.edge.core.log, error)
             self.abort()
         if not len(self.buffer):
-            self.buffer.rest()
+            self.buffer.release_memory()
 
     def pause_writing(self) -> None:
         self.full = True
--- a/pearstall/lab/soak.py
+++ b/pearstall/lab/soak.py
@@ -149,7 +149,7 @@
                 return "malformed"
             if not body.done and not await self._more():
                 return "cut"
-        if not head.keeps:
+        if not head.keep_alive:
             self.close()
         return {200: "served", 429: "refused", 503: "refused"}.get(head.status, "failed")
 
--- a/pearstall/lab/stations.py
+++ b/pearstall/lab/stations.py
@@ -417,7 +417,7 @@
             if self.head.status == 200:
                 self.got.kind = "served"
             self.got.last = now
-            if not self.head.keeps:
+            if not self.head.keep_alive:
                 self.gone = True
             self._end()
 
--- a/pearstall/models/client.py
+++ b/pearstall/models/client.py
@@ -302,14 +302,14 @@
             self.events_made,
             timers,
             link.busy,
-            link.keeps,
+            link.keep_alive,
             link.closing,
             link.head is None,
             len(link.buffer),
             link.size,
             self.links.leaving,
-            len(self.links.owing),
-            len(self.links.resting),
+            len(self.links.awaiting_request),
+            len(self.links.between_requests),
         )
 
     def breaches(self) -> list[str]:
@@ -333,9 +333,9 @@
                 out.append("gone-told: the client has gone, and its query is open")
             left = {
                 "links": len(self.links.links),
-                "owing": len(self.links.owing),
-                "held": self.links.held,
-                "resting": len(self.links.resting),
+                "owing": len(self.links.awaiting_request),
+                "held": self.links.body_bytes,
+                "resting": len(self.links.between_requests),
                 "timers": len(self.core.deadlines),
             }
             if any(left.values()):
--- a/pearstall/models/mutants.py
+++ b/pearstall/models/mutants.py
@@ -321,7 +321,7 @@
     Mutant(
         "a side that is full already holds no new query up",
         L + "pass_on",
-        "if self.full:",
+        "if self.write_paused:",
         "if False:",
         "client",
         "malformed",
@@ -338,8 +338,8 @@
     ),
     Mutant(
         "bytes of a whole query stay on the books",
-        L + "_drop_parts",
-        "self.owner.held -= self.size",
+        L + "_release_body",
+        "self.owner.body_bytes -= self.size",
         "pass",
         "client",
         "HTTP/1.0",
@@ -347,8 +347,8 @@
     ),
     Mutant(
         "a lost link stays among those that owe a query",
-        "pearstall.net.client_link:ClientLinks.lost",
-        "self.owing.pop(link, None)",
+        "pearstall.net.client_link:ClientLinks.forget",
+        "self.awaiting_request.pop(link, None)",
         "pass",
         "client",
         "HTTP/1.0",
@@ -357,7 +357,7 @@
     Mutant(
         "a stream's last chunk is forgotten",
         L + "finish",
-        'self._write(LAST_CHUNK if self.framed else b"")',
+        'self._write(LAST_CHUNK if self.chunked else b"")',
         "pass",
         "client",
         "malformed",
--- a/pearstall/net/buffer.py
+++ b/pearstall/net/buffer.py
@@ -1,63 +1,63 @@
-"""The one buffer of a connection: it grows as needed and is compacted in place."""
+"""The read buffer of a connection: it grows as needed and is compacted in place."""
 
 from __future__ import annotations
 
-FIRST = 4096
-KEPT = 65536  # an empty buffer larger than this gives its memory back
+INITIAL_BYTES = 4096
+MAX_RETAINED_BYTES = 65536  # an empty buffer larger than this is replaced by one of the initial size
 
 
 class Buffer:
-    """Bytes come in at the end through `room` and `wrote`; parsers take them from the front."""
+    """Bytes are appended with `writable_view` and `wrote`; parsers consume them from the front."""
 
-    __slots__ = ("data", "start", "end", "lent", "filled")
+    __slots__ = ("data", "start", "end", "view", "view_filled")
 
     def __init__(self) -> None:
-        self.data = bytearray(FIRST)
+        self.data = bytearray(INITIAL_BYTES)
         self.start = 0
         self.end = 0
-        self.lent: memoryview | None = None
-        self.filled = False  # the last read
+        self.view: memoryview | None = None
+        self.view_filled = False  # by the last read
 
     def __len__(self) -> int:
         return self.end - self.start
 
-    def room(self) -> memoryview:
-        """Where the next bytes go: a view that `wrote` takes back."""
-        self._take_back()
+    def writable_view(self) -> memoryview:
+        """The free space behind the content, as a view that is valid until `wrote`."""
+        self._release_view()
         if self.start:
-            held = self.end - self.start
-            if not held or len(self.data) - self.end < len(self.data) // 4:
-                self.data[:held] = self.data[self.start : self.end]
-                self.start, self.end = 0, held
-        # A read that filled its room shows that more waits. Without growing then, a query of 30 KB, taken
-        # out as it comes, took eight reads of 4 KB, each a turn of the loop.
-        if self.end == len(self.data) or (self.filled and len(self.data) < KEPT):
+            size = self.end - self.start
+            if not size or len(self.data) - self.end < len(self.data) // 4:
+                self.data[:size] = self.data[self.start : self.end]
+                self.start, self.end = 0, size
+        # A read that filled the view shows that more data is waiting. Without growing then, a query of 30 KB, which
+        # is consumed as it arrives, took eight reads of 4 KB, each in its own iteration of the event loop.
+        if self.end == len(self.data) or (self.view_filled and len(self.data) < MAX_RETAINED_BYTES):
             self.data.extend(bytes(len(self.data)))
-        self.filled = False
-        self.lent = memoryview(self.data)[self.end :]
-        return self.lent
+        self.view_filled = False
+        self.view = memoryview(self.data)[self.end :]
+        return self.view
 
     def wrote(self, count: int) -> None:
-        # The transport still holds its view here, and a view that is out bars the bytearray from growing.
-        self.filled = self.lent is not None and count == len(self.lent)
-        self._take_back()
+        # The transport still refers to its view here, and a bytearray can't grow while a view of it exists.
+        self.view_filled = self.view is not None and count == len(self.view)
+        self._release_view()
         self.end += count
 
-    def _take_back(self) -> None:
-        if self.lent is not None:
-            self.lent.release()
-            self.lent = None
+    def _release_view(self) -> None:
+        if self.view is not None:
+            self.view.release()
+            self.view = None
 
     def add(self, data: bytes) -> None:
         while data:
-            view = self.room()
+            view = self.writable_view()
             part = data[: len(view)]
             view[: len(part)] = part
             self.wrote(len(part))
             data = data[len(part) :]
 
     def find(self, what: bytes, start: int = 0, end: int | None = None) -> int:
-        """Where it stands, counted from the front; -1: nowhere."""
+        """The offset of `what` from the front, or -1. `start` and `end` are offsets too."""
         stop = self.end if end is None else min(self.end, self.start + end)
         at = self.data.find(what, self.start + start, stop)
         return at - self.start if at >= 0 else -1
@@ -70,14 +70,14 @@
         self.skip(len(out))
         return out
 
-    def rest(self) -> None:
-        """Nothing is due for a while: an empty buffer that has grown gives its memory back."""
-        if not len(self) and self.lent is None and len(self.data) > FIRST:
-            self.data = bytearray(FIRST)
+    def release_memory(self) -> None:
+        """Shrinks an empty buffer to its initial size. Called when no data is expected for a while."""
+        if not len(self) and self.view is None and len(self.data) > INITIAL_BYTES:
+            self.data = bytearray(INITIAL_BYTES)
 
     def skip(self, count: int) -> None:
         self.start += min(count, self.end - self.start)
         if self.start == self.end:
             self.start = self.end = 0
-            if len(self.data) > KEPT and self.lent is None:
-                self.data = bytearray(FIRST)
+            if len(self.data) > MAX_RETAINED_BYTES and self.view is None:
+                self.data = bytearray(INITIAL_BYTES)
--- a/pearstall/net/client_link.py
+++ b/pearstall/net/client_link.py
@@ -1,4 +1,4 @@
-"""Links from clients: one query at a time, in either front's form."""
+"""Client connections: one query at a time, in the wire form of either front."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from pearstall.net.pending import end_sending, gone, pending
 from pearstall.net.slots import Slots
 
-LARGEST_BODY = 256 * 1024
-MOST_AHEAD = 64 * 1024  # read of a next query while one is under way
-MOST_GATHERED = 4 << 20  # of an answer that is given whole
-READ_LIMIT = 2.4  # for a query to come whole, from its first byte; for the first one, from the accept
-IDLE_LIMIT = 4.0  # between two queries
-GRACE = 0.3  # a link accepted just now is let be, though its query has not come
-UNSENT = 64 * 1024  # towards a client, before its server link is paused
-INVITE = 0.1  # for a link's next query, while the program is about to end
-LINGER = 1.0  # a link closed while more may come
-LOOKS = 16  # links looked at for one to give way
+MAX_BODY_BYTES = 256 * 1024
+MAX_PIPELINED_BYTES = 64 * 1024  # received behind a query that is still being answered
+MAX_COLLECTED_BYTES = 4 << 20  # of an answer that is sent as one object instead of a stream
+READ_TIMEOUT_SECONDS = 2.4  # for a complete query, from its first byte; for the first one, from the accept
+IDLE_TIMEOUT_SECONDS = 4.0  # between two queries
+EVICTION_GRACE_SECONDS = 0.3  # a connection younger than this is not evicted for lack of a query
+WRITE_BUFFER_BYTES = 64 * 1024  # unsent bytes towards a client at which reading from its model server pauses
+SHUTDOWN_IDLE_SECONDS = 0.1  # for the next query of a connection, once the process is shutting down
+LINGER_SECONDS = 1.0  # a closed connection is drained this long before it is aborted
+EVICTION_CANDIDATES = 16  # connections examined to find one to evict
 
 
 class Front(Protocol):
-    """A wire form: reads queries and words final answers."""
+    """A wire form: parses queries and encodes final answers."""
 
-    def check(self, head: Head) -> Reply | None:
-        """From the head alone: an answer that needs no query, or none."""
+    def direct_reply(self, head: Head) -> Reply | None:
+        """A reply that follows from the head alone and needs no query, or None."""
 
-    def read(self, head: Head, body: bytes, came: float, answer: ClientLink) -> Query | Reply: ...
+    def read(self, head: Head, body: bytes, received_at: float, answer: ClientLink) -> Query | Reply: ...
 
-    def names_answer(self, head: Head | None) -> str:
-        """A header line for every answer, or nothing."""
+    def id_header_line(self, head: Head | None) -> str:
+        """A header line that identifies the answer, or an empty string."""
 
     def malformed(self, why: Malformed) -> Reply: ...
 
@@ -45,12 +45,12 @@
 
     def failed(self, timed_out: bool) -> Reply: ...
 
-    def whole(self, query: Query, events: bytes) -> Reply:
-        """The answer where the client wanted no stream."""
+    def complete_answer(self, query: Query, events: bytes) -> Reply:
+        """The answer as one object, for a client that did not ask for a stream."""
 
 
 class Holder(Protocol):
-    """Who holds a link's query: the core, or what stands between the two."""
+    """Is notified about the client side of a query: the core, or a layer between the connection and the core."""
 
     def client_gone(self, handle: int) -> None: ...
 
@@ -68,23 +68,23 @@
         self.body: Body | None = None
         self.parts: list[bytes] = []
         self.size = 0
-        self.came = 0.0
-        self.ahead_since = 0.0  # when the oldest bytes came that wait behind the query under way; 0: none do
-        self.query: Query | None = None  # the one under way
+        self.received_at = 0.0
+        self.pipelined_since = 0.0  # arrival of the oldest bytes behind the query in progress; 0: there are none
+        self.query: Query | None = None  # the one in progress
         self.holder: Holder = owner.core
         self.busy = False
-        self.begun = False
-        self.full = False  # towards the client: asyncio tells it once, whatever queries begin meanwhile
-        self.gathered: list[bytes] = []
-        self.gathered_size = 0
-        self.keeps = True
-        self.carried = 0  # queries so far
+        self.begun = False  # the head of a streamed answer was written
+        self.write_paused = False  # asyncio reports this once, however many queries begin in the meantime
+        self.collected: list[bytes] = []
+        self.collected_size = 0
+        self.keep_alive = True
+        self.query_count = 0
         self.closing = False
         self.deadline: Deadline | None = None
 
     @property
     def unsent(self) -> int:
-        """Bytes of its answers that still wait here for the client to read."""
+        """Bytes of answers that are still buffered here because the client has not read them."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     @property
@@ -94,64 +94,65 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(UNSENT)
+        transport.set_write_buffer_limits(WRITE_BUFFER_BYTES)
         self.handle = self.owner.links.add(self)
-        self._wait(INVITE if self.owner.hurried else READ_LIMIT, self.too_slow)
+        self._set_timeout(SHUTDOWN_IDLE_SECONDS if self.owner.hurried else READ_TIMEOUT_SECONDS, self.stop_waiting)
         self.owner.accepted(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.owner.links.remove(self.handle)
-        self.owner.lost(self)
-        self._wait(0)
-        self._drop_parts()
+        self.owner.forget(self)
+        self._set_timeout(0)
+        self._release_body()
         if self.busy and self.query is not None:
             self.busy = False
             self.holder.client_gone(self.query.handle)
         self.closing = True
 
     def eof_received(self) -> bool:
-        return False  # a client that closes has gone: connection_lost follows
+        return False  # a half-closed connection counts as gone: asyncio closes it and calls connection_lost
 
-    def _wait(self, limit: float, then: Callable[[], object] | None = None) -> None:
+    def _set_timeout(self, seconds: float, then: Callable[[], object] | None = None) -> None:
         if self.deadline is not None:
             self.deadline.cancel()
             self.deadline = None
-        if limit:
-            self.deadline = self.owner.deadlines.after(limit, then or self.close)
+        if seconds:
+            self.deadline = self.owner.deadlines.after(seconds, then or self.close)
 
-    def retire(self) -> bool:
-        """Closes the link between two queries, but not on one that has come and was not read yet."""
-        quiet = self.idle and self.transport is not None and not self.unsent and not pending(self.transport)
-        if quiet:
+    def close_if_idle(self) -> bool:
+        """Closes the connection between two queries, unless one has arrived in the socket and was not read yet."""
+        idle = self.idle and self.transport is not None and not self.unsent and not pending(self.transport)
+        if idle:
             self.close()
-        return quiet
+        return idle
 
-    def too_slow(self) -> None:
-        """Its query has not come whole in time, or its place is wanted. Who said nothing is told nothing."""
+    def stop_waiting(self) -> None:
+        """The query has not arrived completely in time, or the connection is evicted. A client that sent nothing
+        gets no answer."""
         if self.closing:
             self.abort()
         elif self.unsent:
-            self._linger()  # it may still read what it was told
+            self._linger()  # the client may still read the previous answer
         elif self.idle:
-            if not self.retire():
-                self._wait(INVITE, self.too_slow)  # a query has come and is about to be read
+            if not self.close_if_idle():
+                self._set_timeout(SHUTDOWN_IDLE_SECONDS, self.stop_waiting)  # a query is about to be read
         elif self.owner.hurried:
-            self._reply(self.front.refused(0), last=True)  # the program won't be there when the rest comes
+            self._reply(self.front.refused(0), last=True)  # the process will have ended when the rest arrives
         else:
-            self._bad(Malformed("the query has not come whole in time", 408))
+            self._reject(Malformed("the query has not come whole in time", 408))
 
     def _log_close(self, why: str) -> None:
         request = self.query.txn if self.query is not None else ""
         self.owner.core.log.event("client_connection_closed", connection=self.handle, request=request, why=why)
 
-    def _drop_parts(self) -> None:
-        self.owner.held -= self.size
+    def _release_body(self) -> None:
+        self.owner.body_bytes -= self.size
         self.parts, self.size = [], 0
 
     # -- reading -------------------------------------------------------------------------------------------
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.room()
+        return self.buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
         self.buffer.wrote(nbytes)
@@ -159,16 +160,16 @@
             self.buffer.skip(len(self.buffer))
             return
         if self.busy:
-            self.ahead_since = self.ahead_since or self.owner.deadlines.clock.time()
-            if len(self.buffer) > MOST_AHEAD:
-                # Nobody sends so much ahead, and paused reading would hide that it has gone. Not closed in the
-                # usual way, which would wait until it has read what it was sent: it may never do so.
-                self._log_close("too much sent ahead")
+            self.pipelined_since = self.pipelined_since or self.owner.deadlines.clock.time()
+            if len(self.buffer) > MAX_PIPELINED_BYTES:
+                # Legitimate clients do not pipeline this much, and pausing reads would hide a disconnect. Aborted
+                # rather than closed: a close waits until the client has read its answer, which it may never do.
+                self._log_close("too much pipelined data")
                 self.abort()
             return
         try:
             self._read()
-        except Exception as error:  # stops here: no other link is harmed
+        except Exception as error:  # contained here, so that no other connection is affected
             self.owner.counters.exceptions += 1
             log_exception(self.owner.core.log, error)
             if self.busy or self.closing:
@@ -177,71 +178,73 @@
                 self._reply(self.front.failed(False), last=True)
 
     def _read(self) -> None:
-        """Runs from the last answer's end to the next query's last byte."""
+        """Handles everything between the end of the last answer and the last byte of the next query."""
         while not self.busy and not self.closing and len(self.buffer):
             if self.head is None:
-                if not self.came:
-                    # The client's time runs from its sending, not from the end of the answer before.
-                    self.came = self.ahead_since or self.owner.deadlines.clock.time()
-                    if self.carried:  # the first one's time runs from the accept
-                        self._wait(INVITE if self.owner.hurried else READ_LIMIT, self.too_slow)
-                    self.owner.reading(self)
+                if not self.received_at:
+                    # The client's deadline counts from when it sent the query, not from the end of the last answer.
+                    self.received_at = self.pipelined_since or self.owner.deadlines.clock.time()
+                    if self.query_count:  # the timeout of the first query counts from the accept
+                        self._set_timeout(
+                            SHUTDOWN_IDLE_SECONDS if self.owner.hurried else READ_TIMEOUT_SECONDS, self.stop_waiting
+                        )
+                    self.owner.request_started(self)
                 head = read_head(self.buffer)
                 if head is None:
                     return
                 if isinstance(head, Malformed):
-                    self._bad(head)
+                    self._reject(head)
                     return
                 body = body_of(head)
                 if isinstance(body, Malformed):
-                    self._bad(body)
+                    self._reject(body)
                     return
                 self.head, self.body = head, body
-                self._drop_parts()
-                self.keeps = head.keeps
-                if body.left > LARGEST_BODY:
-                    self._bad(Malformed("the body is too large", 413))
+                self._release_body()
+                self.keep_alive = head.keep_alive
+                if body.left > MAX_BODY_BYTES:
+                    self._reject(Malformed("the body is too large", 413))
                     return
                 if head.headers.get("expect", "").lower() == "100-continue" and not body.done:
                     self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
             assert self.body is not None
             data = self.body.feed(self.buffer)
             if isinstance(data, Malformed):
-                self._bad(data)
+                self._reject(data)
                 return
             if data:
                 self.parts.append(data)
                 self.size += len(data)
-                self.owner.held += len(data)
-                if self.owner.held > self.owner.most_held and not self.owner.free_memory(self):
+                self.owner.body_bytes += len(data)
+                if self.owner.body_bytes > self.owner.max_body_bytes and not self.owner.free_memory(self):
                     self.owner.counters.crowded_out += 1
                     self._reply(self.front.refused(0), last=True)
                     return
-            if self.size > LARGEST_BODY or (self.body.chunked and self.body.left > LARGEST_BODY):
-                self._bad(Malformed("the body is too large", 413))
+            if self.size > MAX_BODY_BYTES or (self.body.chunked and self.body.left > MAX_BODY_BYTES):
+                self._reject(Malformed("the body is too large", 413))
                 return
             if not self.body.done:
                 return
             now = self.owner.deadlines.clock.time()
-            self.ahead_since = self.ahead_since or now if len(self.buffer) else 0.0
-            self._whole(self.head, b"".join(self.parts))
+            self.pipelined_since = self.pipelined_since or now if len(self.buffer) else 0.0
+            self._handle_request(self.head, b"".join(self.parts))
 
-    def _whole(self, head: Head, body: bytes) -> None:
-        self._wait(0)
-        self.owner.whole(self)
+    def _handle_request(self, head: Head, body: bytes) -> None:
+        self._set_timeout(0)
+        self.owner.request_received(self)
         self.parts = []
-        direct = self.front.check(head)
+        direct = self.front.direct_reply(head)
         if direct is not None:
             self._reply(direct)
             return
-        query = self.front.read(head, body, self.came, self)
+        query = self.front.read(head, body, self.received_at, self)
         shared = self.owner.share(self, head, body) if self.owner.share is not None else None
         if shared is not None and isinstance(query, Query):
-            self._begin(query)
+            self._start_query(query)
             shared(query)
             return
         if isinstance(query, Query) and query.txn in self.owner.core.open_ids:
-            # Under one id two queries would be two copies of one to the model servers.
+            # Two open queries with one id would look like two copies of the same query to the model servers.
             query = self.front.malformed(Malformed("another query with this id is open", 409))
         if isinstance(query, Reply):
             if isinstance(query, UnknownClass):
@@ -250,18 +253,18 @@
                 self.owner.counters.malformed += 1
             self._reply(query)
             return
-        self._begin(query)
+        self._start_query(query)
         self.owner.core.take(query)
 
-    def _begin(self, query: Query) -> None:
+    def _start_query(self, query: Query) -> None:
         self.begun = False
-        self.gathered, self.gathered_size = [], 0
+        self.collected, self.collected_size = [], 0
         self.busy = True
-        self.carried += 1
+        self.query_count += 1
         query.answer = self
         self.query = query
 
-    def _bad(self, why: Malformed) -> None:
+    def _reject(self, why: Malformed) -> None:
         self.owner.counters.malformed += 1
         self._log_close(why.why)
         self._reply(self.front.malformed(why), last=True)
@@ -272,55 +275,55 @@
         return self.closing or self.transport is None or gone(self.transport)
 
     def again(self) -> None:
-        self.gathered, self.gathered_size = [], 0
+        self.collected, self.collected_size = [], 0
 
     def pass_on(self, events: bytes) -> bool:
         if self.closing:
             return False
         if self.query is None or not self.query.streams:
-            self.gathered.append(events)
-            self.gathered_size += len(events)
-            if self.gathered_size > MOST_GATHERED:
+            self.collected.append(events)
+            self.collected_size += len(events)
+            if self.collected_size > MAX_COLLECTED_BYTES:
                 self.close()
             return False
-        out = chunk(events) if self.framed else events
+        out = chunk(events) if self.chunked else events
         if not self.begun:
             self.begun = True
-            if self.full:  # with what the query before it left unread
+            if self.write_paused:  # by unread bytes of the previous answer
                 self.holder.pause(self.query.handle, True)
             lines = ["HTTP/1.1 200 OK", "Content-Type: text/event-stream", "Cache-Control: no-cache"]
-            if self.framed:
+            if self.chunked:
                 lines.append("Transfer-Encoding: chunked")
             else:
-                self.keeps = False  # HTTP/1.0 knows no chunks: the end of the link is the end of the stream
-            if name := self.front.names_answer(self.head):
-                lines.append(name)
-            if self._last():
+                self.keep_alive = False  # HTTP/1.0 has no chunks: closing the connection ends the stream
+            if id_line := self.front.id_header_line(self.head):
+                lines.append(id_line)
+            if self._closes_after_answer():
                 lines.append("Connection: close")
             out = "\r\n".join([*lines, "", ""]).encode() + out
         self._write(out)
         return True
 
     @property
-    def framed(self) -> bool:
+    def chunked(self) -> bool:
         return self.head is not None and self.head.minor == 1
 
     def finish(self) -> None:
         if self.query is not None and not self.query.streams:
-            self._reply(self.front.whole(self.query, b"".join(self.gathered)))
+            self._reply(self.front.complete_answer(self.query, b"".join(self.collected)))
         elif not self.begun:
-            self._reply(self.front.failed(False))  # a stream without a single event
+            self._reply(self.front.failed(False))  # the stream ended without a single event
         else:
-            self._write(LAST_CHUNK if self.framed else b"")
-            self._next()
+            self._write(LAST_CHUNK if self.chunked else b"")
+            self._next_request()
 
     def cut(self) -> None:
-        """What was passed on goes out first; then the link ends, without the last chunk."""
+        """Sends what was already passed on, then closes the connection without the terminating chunk."""
         self.busy = False
-        if not self.framed and self.transport is not None:
-            self.transport.abort()  # only a reset tells such a client from a whole stream's end
+        if not self.chunked and self.transport is not None:
+            self.transport.abort()  # without chunks, only a reset distinguishes a cut stream from a complete one
         self.close()
-        self._end_unless_read()
+        self._abort_unless_read()
 
     def refuse(self, retry_after: int) -> None:
         self.owner.counters.refused += 1
@@ -333,64 +336,65 @@
     def blame(self, end: Blamed) -> None:
         self._reply(Reply(end.status, end.body, {}, end.content_type))
 
-    def _last(self) -> bool:
-        """Whether the link ends after this answer. Before the program ends, clients are invited off."""
-        if self.owner.leaving and not len(self.buffer):  # a request behind it is answered first
-            self.keeps = False
-        return not self.keeps
+    def _closes_after_answer(self) -> bool:
+        """Whether the connection closes after this answer. During a shutdown, clients are asked to reconnect."""
+        if self.owner.leaving and not len(self.buffer):  # a pipelined request is answered first
+            self.keep_alive = False
+        return not self.keep_alive
 
     def answer(self, reply: Reply) -> None:
-        """A final answer that another than the core gives."""
+        """A final answer from a layer other than the core."""
         if self.busy:
             self._reply(reply)
 
     def _reply(self, reply: Reply, last: bool = False) -> None:
-        self.keeps = self.keeps and not last
+        self.keep_alive = self.keep_alive and not last
         if self.head is not None and self.head.method == "HEAD":
-            reply = Reply(reply.status, b"", reply.headers)  # bytes after its head would be the next answer's
-        self._write(reply.encode(self._last(), self.front.names_answer(self.head)))
-        self._next()
+            reply = Reply(reply.status, b"", reply.headers)  # a body would be parsed as the next answer
+        self._write(reply.encode(self._closes_after_answer(), self.front.id_header_line(self.head)))
+        self._next_request()
 
     def _write(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def _next(self) -> None:
+    def _next_request(self) -> None:
         self.busy = False
         self.head = self.body = None
-        self.came = 0.0
-        self.gathered = []
+        self.received_at = 0.0
+        self.collected = []
         self.query = None
         self.holder = self.owner.core
-        self._drop_parts()
-        self.owner.rests(self)
-        if not self.keeps or (self.owner.hurried and not len(self.buffer)):
+        self._release_body()
+        self.owner.answered(self)
+        if not self.keep_alive or (self.owner.hurried and not len(self.buffer)):
             self._linger()
             return
-        self.buffer.rest()
+        self.buffer.release_memory()
         if self.owner.leaving:
-            self._wait(INVITE, self.too_slow)  # not told to go: the next query may be on its way
+            self._set_timeout(SHUTDOWN_IDLE_SECONDS, self.stop_waiting)  # the answer had no "Connection: close"
         else:
-            self._wait(IDLE_LIMIT, self.too_slow)
+            self._set_timeout(IDLE_TIMEOUT_SECONDS, self.stop_waiting)
         if len(self.buffer):
             asyncio.get_running_loop().call_soon(self.buffer_updated, 0)
 
     def _linger(self) -> None:
-        """Ends sending, and reads on for a moment: a reset would take the answer from under the client."""
+        """Half-closes and keeps reading for a moment: an immediate close may send a reset, which would discard the
+        part of the answer that the client has not read."""
         self.closing = True
         self.buffer.skip(len(self.buffer))
         if self.transport is not None and not self.transport.is_closing():
             end_sending(self.transport)
-            self._end_unless_read()
+            self._abort_unless_read()
 
-    def _end_unless_read(self, unsent_before: int = -1) -> None:
-        """A closed link goes once its client has had the time to read: a slow one gets more for as long as it
-        reads, and one that reads nothing must not hold the link for what it has left unread."""
+    def _abort_unless_read(self, unsent_before: int = -1) -> None:
+        """Aborts a closed connection once its client has had time to read. A slow client gets more time as long as
+        it makes progress; one that reads nothing must not hold the connection open."""
         unsent = self.unsent
         if unsent_before >= 0 and not 0 < unsent < unsent_before:
             self.abort()
         else:
-            self._wait(LINGER, lambda: self._end_unless_read(unsent))
+            self._set_timeout(LINGER_SECONDS, lambda: self._abort_unless_read(unsent))
 
     def close(self) -> None:
         self.closing = True
@@ -403,108 +407,116 @@
             self.transport.abort()
 
     def pause_writing(self) -> None:
-        self.full = True
+        self.write_paused = True
         if self.query is not None:
             self.holder.pause(self.query.handle, True)
 
     def resume_writing(self) -> None:
-        self.full = False
+        self.write_paused = False
         if self.query is not None:
             self.holder.pause(self.query.handle, False)
 
 
 class ClientLinks:
-    def __init__(self, core: Core, counters: Counters, most: int) -> None:
+    def __init__(self, core: Core, counters: Counters, max_links: int) -> None:
         self.core = core
         self.deadlines = core.deadlines
         self.counters = counters
-        self.most = most
-        self.most_held = 16 << 20
-        self.held = 0  # bytes of bodies, of queries that are coming or open
+        self.max_links = max_links
+        self.max_body_bytes = 16 << 20
+        self.body_bytes = 0  # of queries that are being received or are open
         self.links: Slots[ClientLink] = Slots()
-        # In the order in which they came to be so: links that owe a whole query, and those between two.
-        self.owing: dict[ClientLink, float] = {}
-        self.resting: dict[ClientLink, None] = {}
-        self.leaving = False
-        self.hurried = False
-        self.latest = 0.0  # when a link was accepted last
-        # Whether a query is to be shared with others of the same key, and how; see edge/idempotency.py.
+        # Oldest first: connections whose request is not complete, with the time since when, and idle ones.
+        self.awaiting_request: dict[ClientLink, float] = {}
+        self.between_requests: dict[ClientLink, None] = {}
+        self.leaving = False  # shutting down: clients are asked to reconnect elsewhere
+        self.hurried = False  # about to be killed: no further query is accepted
+        self.last_accept_at = 0.0
+        # Decides whether a query shares its execution with others of the same idempotency key, and attaches it to
+        # them; see edge/idempotency.py.
         self.share: Callable[[ClientLink, Head, bytes], Callable[[Query], None] | None] | None = None
 
     def accepted(self, link: ClientLink) -> None:
         self.counters.client_links += 1
-        self.latest = self.deadlines.clock.time()
-        self.owing[link] = self.latest
-        if len(self.links) > self.most and not self._make_room(link):
+        self.last_accept_at = self.deadlines.clock.time()
+        self.awaiting_request[link] = self.last_accept_at
+        if len(self.links) > self.max_links and not self._evict(link):
             self.counters.crowded_out += 1
-            self.core.log.event("client_connection_closed", connection=link.handle, request="", why="no room")
+            self.core.log.event(
+                "client_connection_closed", connection=link.handle, request="", why="connection limit reached"
+            )
             link.close()
 
-    def _make_room(self, link: ClientLink) -> bool:
-        """Who holds a link and asks for nothing goes first: hundreds that stay silent must not keep out those
-        who ask. Then the ones between two queries, the longest at rest first. Each goes off the books at once:
-        its descriptor is free only a turn of the loop later, and the next one accepted must find another."""
-        return self._end_owing(link, GRACE) or self._end_resting() or self._end_owing(link, 0.0)
-
-    def _end_owing(self, link: ClientLink, grace: float) -> bool:
-        for other, since in list(islice(self.owing.items(), LOOKS)):
-            if other is link or self.latest - since < grace:
+    def _evict(self, link: ClientLink) -> bool:
+        """Closes a connection in favour of a new one. Connections without a request come first: hundreds of silent
+        ones must not shut out clients that have a request. Idle connections are next, the longest idle one first.
+        An evicted connection leaves the tables at once: its descriptor is only free in the next iteration of the
+        event loop, and the next connection accepted must evict a different one."""
+        return (
+            self._evict_incomplete(link, EVICTION_GRACE_SECONDS)
+            or self._evict_idle()
+            or self._evict_incomplete(link, 0.0)
+        )
+
+    def _evict_incomplete(self, link: ClientLink, grace: float) -> bool:
+        for other, since in list(islice(self.awaiting_request.items(), EVICTION_CANDIDATES)):
+            if other is link or self.last_accept_at - since < grace:
                 return False
             if other.idle or not grace:
-                self.lost(other)  # one that has sent something meanwhile comes back with it
-                if other.retire():
+                self.forget(other)  # request_started adds it again if it has sent something in the meantime
+                if other.close_if_idle():
                     return True
                 if not other.idle:
-                    other.too_slow()
+                    other.stop_waiting()
                     other.abort()
                     return True
         return False
 
-    def _end_resting(self) -> bool:
-        for other in list(islice(self.resting, LOOKS)):
-            self.lost(other)
-            if other.closing or other.unsent:  # its descriptor is needed, and it does not read
+    def _evict_idle(self) -> bool:
+        for other in list(islice(self.between_requests, EVICTION_CANDIDATES)):
+            self.forget(other)
+            if other.closing or other.unsent:  # its client does not read, and the descriptor is needed
                 other.abort()
                 return True
-            if other.retire():
+            if other.close_if_idle():
                 return True
         return False
 
     def free_memory(self, link: ClientLink) -> bool:
-        """Half queries that are left lying must not use up the memory of those that come whole."""
-        for other in list(self.owing):
+        """Incomplete queries that make no progress must not use up the memory of those that arrive completely."""
+        for other in list(self.awaiting_request):
             if other is not link and other.size:
-                other.too_slow()
-                if self.held <= self.most_held:
+                other.stop_waiting()
+                if self.body_bytes <= self.max_body_bytes:
                     return True
         return False
 
-    def reading(self, link: ClientLink) -> None:
-        self.resting.pop(link, None)
-        self.owing.setdefault(link, self.deadlines.clock.time())
+    def request_started(self, link: ClientLink) -> None:
+        self.between_requests.pop(link, None)
+        self.awaiting_request.setdefault(link, self.deadlines.clock.time())
 
-    def whole(self, link: ClientLink) -> None:
-        self.owing.pop(link, None)
+    def request_received(self, link: ClientLink) -> None:
+        self.awaiting_request.pop(link, None)
 
-    def rests(self, link: ClientLink) -> None:
-        self.owing.pop(link, None)
-        self.resting.pop(link, None)
-        self.resting[link] = None
+    def answered(self, link: ClientLink) -> None:
+        self.awaiting_request.pop(link, None)
+        self.between_requests.pop(link, None)
+        self.between_requests[link] = None
 
-    def lost(self, link: ClientLink) -> None:
-        self.owing.pop(link, None)
-        self.resting.pop(link, None)
+    def forget(self, link: ClientLink) -> None:
+        self.awaiting_request.pop(link, None)
+        self.between_requests.pop(link, None)
 
     def leave(self) -> None:
-        """The program is about to end: links between two queries are closed, the rest after their answer."""
+        """The process is shutting down: idle connections are closed, the others after their answer."""
         self.leaving = True
         for link in self.links:
-            if link.carried and link.idle and not link.closing:
-                link.too_slow()
+            if link.query_count and link.idle and not link.closing:
+                link.stop_waiting()
 
     def hurry(self) -> None:
-        """It may be killed from now on: no link stays open on which a query could still come whole."""
+        """The process may be killed from now on: no connection stays open on which a query could still arrive."""
         self.hurried = True
         for link in self.links:
             if not link.busy and not link.closing:
-                link.too_slow()
+                link.stop_waiting()
--- a/pearstall/net/cluster.py
+++ b/pearstall/net/cluster.py
@@ -198,7 +198,7 @@
         transport.write(f"GET /catalog/members?stream=1{after} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.room()
+        return self.buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
         self.buffer.wrote(nbytes)
--- a/pearstall/net/events.py
+++ b/pearstall/net/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events: cuts a stream of bytes after whole events, leaving every byte as it is."""
+"""Server-sent events: splits a byte stream after complete events, without changing a byte."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 
 from pearstall.net.http1 import Malformed
 
-LARGEST_EVENT = 1 << 20
-# Possessive throughout: a line's end that could be read in two ways must not make the search go back.
-LINES = re.compile(rb"(?:(?:(?:data|event|id|retry)(?::[^\r\n]*+)?+|:[^\r\n]*+)?+(?>\r\n|\r|\n))*+")
-ENDS = (b"\n\n", b"\r\n\r\n", b"\r\r")
+MAX_EVENT_BYTES = 1 << 20
+# Possessive throughout: a line end that can be matched in two ways must not cause backtracking.
+WELL_FORMED_LINES = re.compile(rb"(?:(?:(?:data|event|id|retry)(?::[^\r\n]*+)?+|:[^\r\n]*+)?+(?>\r\n|\r|\n))*+")
+EVENT_ENDS = (b"\n\n", b"\r\n\r\n", b"\r\r")
 
 
 class EventSplitter:
-    __slots__ = ("rest", "spoilt")
+    __slots__ = ("remainder", "error")
 
     def __init__(self) -> None:
-        self.rest = b""
-        self.spoilt: Malformed | None = None  # what came whole before is given first
+        self.remainder = b""
+        self.error: Malformed | None = None  # returned once the events before it were
 
     def feed(self, data: bytes) -> bytes | Malformed:
-        """All that ends with a whole event, in the order it came; what is left waits for the next call."""
-        if self.spoilt is not None:
-            return self.spoilt
-        data = self.rest + data if self.rest else data
-        cut = _whole(data, len(data))
-        # A chunk of a wrong size leaves framing among the events; passed on, it would be part of the answer.
-        lines = LINES.match(data, 0, cut)
+        """Everything up to the end of the last complete event; the remainder is kept for the next call."""
+        if self.error is not None:
+            return self.error
+        data = self.remainder + data if self.remainder else data
+        cut = _end_of_last_event(data, len(data))
+        # A wrong chunk size leaves framing among the events, which would be passed on as a part of the answer.
+        lines = WELL_FORMED_LINES.match(data, 0, cut)
         if lines is not None and lines.end() < cut:
-            self.spoilt = Malformed("an event that is none")
-            cut = _whole(data, lines.end())
-        elif len(data) - cut > LARGEST_EVENT:
-            self.spoilt = Malformed("an event without an end")
-        self.rest = b"" if self.spoilt else data[cut:]
-        return data[:cut] if cut or self.spoilt is None else self.spoilt
+            self.error = Malformed("the stream contains a malformed event")
+            cut = _end_of_last_event(data, lines.end())
+        elif len(data) - cut > MAX_EVENT_BYTES:
+            self.error = Malformed("an event is too large")
+        self.remainder = b"" if self.error else data[cut:]
+        return data[:cut] if cut or self.error is None else self.error
 
 
-def _whole(data: bytes, end: int) -> int:
-    """Where the last whole event before there ends."""
-    found = [at + len(mark) for mark in ENDS if (at := data.rfind(mark, 0, end)) >= 0]
+def _end_of_last_event(data: bytes, end: int) -> int:
+    """The offset behind the last complete event that ends at or before `end`; 0: there is none."""
+    found = [at + len(separator) for separator in EVENT_ENDS if (at := data.rfind(separator, 0, end)) >= 0]
     return max(found, default=0)
 
 
 def payloads(events: bytes) -> Iterator[bytes]:
-    """The data of each event. Lines end in any of three ways; other fields and comments are skipped."""
+    """The data of each event. Lines may end in any of the three ways; other fields and comments are skipped."""
     lines: list[bytes] = []
     for line in [*events.replace(b"\r\n", b"\n").replace(b"\r", b"\n").split(b"\n"), b""]:
         if line.startswith(b"data:"):
--- a/pearstall/net/openai.py
+++ b/pearstall/net/openai.py
@@ -1,4 +1,4 @@
-"""The OpenAI-style front: chat completions, completions and models; and that form of model server."""
+"""The OpenAI-style front (chat completions, completions and models), and that form of model server."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from pearstall.net.core import Answer, Query
 from pearstall.net.events import payloads
 from pearstall.net.http1 import Head, Malformed, Reply, UnknownClass
-from pearstall.net.platform import HEALTH, LONGEST_WAIT, Labels, PlatformServer, decimal, number_of
+from pearstall.net.platform import HEALTH, MAX_WAIT_SECONDS, Labels, PlatformServer, decimal, number_of
 
 CHAT, COMPLETIONS, MODELS = "/v1/chat/completions", "/v1/completions", "/v1/models"
-TOKEN_CHARACTERS = 4
+CHARACTERS_PER_TOKEN = 4
 
 
 class Message(msgspec.Struct):
@@ -26,8 +26,8 @@
     content: str | list[Any] | None = None
 
 
-class Wanted(msgspec.Struct):
-    """What is read of a body; the rest passes on as it is."""
+class RequestBody(msgspec.Struct):
+    """The fields of a body that the router reads; all others are forwarded unchanged."""
 
     model: str
     messages: list[Message] | None = None
@@ -38,8 +38,8 @@
 
 def error(status: int, message: str, kind: str, code: str | None = None, **headers: str) -> Reply:
     body = {"error": {"message": message, "type": kind, "param": None, "code": code}}
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    return Reply(status, msgspec.json.encode(body), named)
+    http_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+    return Reply(status, msgspec.json.encode(body), http_headers)
 
 
 def invalid(message: str, status: int = 400, code: str | None = None, **headers: str) -> Reply:
@@ -47,12 +47,12 @@
 
 
 def unknown_class(message: str) -> UnknownClass:
-    told = invalid(message)
-    return UnknownClass(told.status, told.body, told.headers, told.content_type)
+    reply = invalid(message)
+    return UnknownClass(reply.status, reply.body, reply.headers, reply.content_type)
 
 
 class OpenAIFront:
-    """`make_id`: names an answer whose request had no id."""
+    """`make_id` creates the id of an answer whose request had none."""
 
     def __init__(
         self,
@@ -65,18 +65,18 @@
         self.make_id = make_id
         self.adopt(names, settings)
         self.models = config.models or list(config.classes)
-        # The platform's servers know a query by the id that its client gave it, and none is made up here.
+        # The platform's servers identify a query by the id that its client chose; the router never creates one.
         self.needs_id = "platform" in (config.server_form, *config.server_forms.values())
         self.ready = False
 
     def adopt(self, names: Names, settings: Settings) -> None:
-        """What classes and tenants are called, and how long classes wait, from now on."""
+        """Sets the names of classes and tenants, and the longest wait of each class."""
         self.lanes = {lane.name: number for number, lane in enumerate(names.lanes)}
         self.tenants = {account.name: number for number, account in enumerate(names.accounts)}
         self.lane_names = [lane.name for lane in names.lanes]
         self.give_up = [klass.give_up / 1e6 for klass in settings.classes]
 
-    def check(self, head: Head) -> Reply | None:
+    def direct_reply(self, head: Head) -> Reply | None:
         path = head.path
         if path in (CHAT, COMPLETIONS):
             allowed = "POST"
@@ -90,63 +90,61 @@
             return None
         if path == HEALTH:
             return Reply(200 if self.ready else 503)
-        rows = [{"id": id, "object": "model", "created": 0, "owned_by": "pearstall"} for id in self.models]
+        models = [{"id": id, "object": "model", "created": 0, "owned_by": "pearstall"} for id in self.models]
         if path == MODELS:
-            return Reply(200, msgspec.json.encode({"object": "list", "data": rows}))
+            return Reply(200, msgspec.json.encode({"object": "list", "data": models}))
         name = path.removeprefix(MODELS + "/")
-        for row in rows:
-            if row["id"] == name:
-                return Reply(200, msgspec.json.encode(row))
-        return _no_model(name)
+        for model in models:
+            if model["id"] == name:
+                return Reply(200, msgspec.json.encode(model))
+        return _unknown_model(name)
 
-    def read(self, head: Head, body: bytes, came: float, answer: Answer) -> Query | Reply:
+    def read(self, head: Head, body: bytes, received_at: float, answer: Answer) -> Query | Reply:
         try:
-            wanted = msgspec.json.decode(body, type=Wanted)
+            request = msgspec.json.decode(body, type=RequestBody)
         except (msgspec.DecodeError, UnicodeDecodeError) as problem:
             return invalid(f"The body can't be read: {problem}")
-        texts = _texts(wanted, head.path)
+        texts = _prompt_texts(request, head.path)
         if not texts:
             return invalid("messages must not be empty" if head.path == CHAT else "prompt is missing")
-        if self.models and wanted.model not in self.models:
-            return _no_model(wanted.model)
+        if self.models and request.model not in self.models:
+            return _unknown_model(request.model)
         headers, config = head.headers, self.config
         txn = headers.get("x-txn") or headers.get("x-request-id") or ""
         if self.needs_id and not txn:
             return invalid("X-Request-Id is missing: these model servers want an id of the client's own")
-        lane = self.lanes.get(
-            headers.get("x-lane") or config.classes.get(wanted.model) or config.default_class, -1
-        )
+        lane = self.lanes.get(headers.get("x-lane") or config.classes.get(request.model) or config.default_class, -1)
         if lane < 0:
             return unknown_class("X-Lane names no class" if "x-lane" in headers else "this model has no class")
-        wait: float | None = config.deadline_s.get(self.lane_names[lane], self.give_up[lane])
+        timeout: float | None = config.deadline_s.get(self.lane_names[lane], self.give_up[lane])
         if "x-remaining" in headers:
-            wait = decimal(headers["x-remaining"])
-        if wait is None:
+            timeout = decimal(headers["x-remaining"])
+        if timeout is None:
             return invalid("X-Remaining is no number of seconds")
         key = headers.get("authorization", "").removeprefix("Bearer ").strip()
         tenant = headers.get("x-org") or config.tenants.get(key) or config.default_tenant
         labels = Labels(headers.get("x-labels", ""))
-        prompt = sum(map(len, texts)) / TOKEN_CHARACTERS
-        opening = texts[0] if len(texts) > 1 else ""  # the first message may open many conversations
-        session = headers.get("x-entity") or (wanted.user if config.session_from_user else None) or ""
-        streams = bool(wanted.stream)
+        prompt = sum(map(len, texts)) / CHARACTERS_PER_TOKEN
+        first_message = texts[0] if len(texts) > 1 else ""  # usually a system prompt that many conversations share
+        session = headers.get("x-entity") or (request.user if config.session_from_user else None) or ""
+        streams = bool(request.stream)
         return Query(
             class_index=lane,
-            deadline=came + min(wait, LONGEST_WAIT),
+            deadline=received_at + min(timeout, MAX_WAIT_SECONDS),
             answer=answer,
             target=head.target,
-            body=body if streams else _streamed(body),
+            body=body if streams else _as_stream_request(body),
             txn=txn,
             prompt_tokens=labels.number("prompt_len", prompt),
             session=number_of(session),
-            prefix=number_of(labels.text.get("prefix") or opening),
-            prefix_tokens=labels.number("prefix_len", len(opening) / TOKEN_CHARACTERS),
+            prefix=number_of(labels.values.get("prefix") or first_message),
+            prefix_tokens=labels.number("prefix_len", len(first_message) / CHARACTERS_PER_TOKEN),
             tenant=self.tenants.get(tenant, len(self.tenants)),
             streams=streams,
         )
 
-    def names_answer(self, head: Head | None) -> str:
-        """Every answer carries the id of its request: the client's own, else one made here."""
+    def id_header_line(self, head: Head | None) -> str:
+        """Every answer carries the id of its request: the client's own, or else one created here."""
         given = head.headers.get("x-request-id", "") if head is not None else ""
         return f"X-Request-Id: {given or self.make_id()}"
 
@@ -156,7 +154,7 @@
     def refused(self, retry_after: int) -> Reply:
         reply = error(503, "The model servers are busy; try again later.", "server_error", "overloaded")
         if retry_after:
-            # Whole seconds, as HTTP has it; clients of this API also know the finer form.
+            # HTTP only allows whole seconds; clients of this API also read milliseconds.
             reply.headers["Retry-After"] = str(math.ceil(retry_after / 1e6))
             reply.headers["Retry-After-Ms"] = str(retry_after // 1000)
         return reply
@@ -166,29 +164,29 @@
             return error(504, "No model server answered in time.", "server_error", "timeout")
         return error(502, "The model servers failed to answer.", "server_error", "bad_gateway")
 
-    def whole(self, query: Query, events: bytes) -> Reply:
-        """One object out of the events of a stream."""
+    def complete_answer(self, query: Query, events: bytes) -> Reply:
+        """Assembles one object from the events of a stream."""
         try:
-            return _gather(events, query.target.partition("?")[0] == CHAT)
+            return _assemble(events, query.target.partition("?")[0] == CHAT)
         except (msgspec.DecodeError, AttributeError, TypeError, KeyError, ValueError):
             return error(502, "A model server's answer can't be read.", "server_error", "bad_gateway")
 
 
-def _no_model(name: str) -> Reply:
+def _unknown_model(name: str) -> Reply:
     return invalid(f"The model {name!r} does not exist.", 404, "model_not_found")
 
 
-def _texts(wanted: Wanted, path: str) -> list[str]:
+def _prompt_texts(request: RequestBody, path: str) -> list[str]:
     if path == CHAT:
-        contents: list[Any] = [message.content for message in wanted.messages or []]
-    elif isinstance(wanted.prompt, list):
-        contents = list(wanted.prompt)
+        contents: list[Any] = [message.content for message in request.messages or []]
+    elif isinstance(request.prompt, list):
+        contents = list(request.prompt)
     else:
-        contents = [] if wanted.prompt is None else [wanted.prompt]
-    return [_text(content) for content in contents]
+        contents = [] if request.prompt is None else [request.prompt]
+    return [_content_text(content) for content in contents]
 
 
-def _text(content: Any) -> str:
+def _content_text(content: Any) -> str:
     if isinstance(content, str):
         return content
     if isinstance(content, list):
@@ -197,13 +195,13 @@
     return ""
 
 
-def _streamed(body: bytes) -> bytes:
-    """Model servers are always asked for a stream: only its first event tells that an answer has begun."""
+def _as_stream_request(body: bytes) -> bytes:
+    """Model servers are always asked for a stream: the first event is the only sign that an answer has begun."""
     fields = msgspec.json.decode(body, type=dict[str, Any])
     return msgspec.json.encode(fields | {"stream": True, "stream_options": {"include_usage": True}})
 
 
-def _gather(events: bytes, chat: bool) -> Reply:
+def _assemble(events: bytes, chat: bool) -> Reply:
     out: dict[str, Any] = {
         "id": "",
         "object": "chat.completion" if chat else "text_completion",
@@ -233,25 +231,25 @@
             if part.get("finish_reason"):
                 choice["finish_reason"] = part["finish_reason"]
             if part.get("logprobs"):
-                choice["logprobs"] = _merged(choice["logprobs"] or {}, part["logprobs"])
+                choice["logprobs"] = _merge_delta(choice["logprobs"] or {}, part["logprobs"])
             if chat:
-                choice["message"] = _merged(choice["message"], part.get("delta") or {})
+                choice["message"] = _merge_delta(choice["message"], part.get("delta") or {})
             else:
                 choice["text"] += part.get("text") or ""
     if not choices:
         raise ValueError("no choices")
     for choice in choices.values():
         for call in (choice.get("message") or {}).get("tool_calls") or []:
-            call.pop("index", None)  # it belongs to the stream's form
+            call.pop("index", None)  # only part of the streamed form
     out["id"] = out["id"] or f"{'chatcmpl' if chat else 'cmpl'}-{uuid.uuid4().hex}"
     out["created"] = out["created"] or int(time.time())
     out["choices"] = [choices[index] for index in sorted(choices)]
     return Reply(200, msgspec.json.encode(out))
 
 
-def _merged(held: dict[str, Any], delta: dict[str, Any]) -> dict[str, Any]:
-    """Deltas add up: texts are joined, lists go on, and entries with an index find their own."""
-    out = dict(held)
+def _merge_delta(merged: dict[str, Any], delta: dict[str, Any]) -> dict[str, Any]:
+    """Adds a delta: strings are concatenated, lists extended, and list items with the same index merged."""
+    out = dict(merged)
     for key, value in delta.items():
         before = out.get(key)
         if value is None:
@@ -261,14 +259,14 @@
         elif isinstance(before, str) and isinstance(value, str):
             out[key] = before + value
         elif isinstance(before, dict) and isinstance(value, dict):
-            out[key] = _merged(before, value)
+            out[key] = _merge_delta(before, value)
         elif isinstance(before, list) and isinstance(value, list):
             out[key] = list(before)
             for item in value:
                 index = item.get("index") if isinstance(item, dict) else None
-                at = [n for n, one in enumerate(out[key]) if index is not None and one.get("index") == index]
-                if at:
-                    out[key][at[0]] = _merged(out[key][at[0]], item)
+                same = [n for n, other in enumerate(out[key]) if index is not None and other.get("index") == index]
+                if same:
+                    out[key][same[0]] = _merge_delta(out[key][same[0]], item)
                 else:
                     out[key].append(item)
         else:
@@ -277,9 +275,9 @@
 
 
 class OpenAIServer(PlatformServer):
-    """Servers that speak the OpenAI-style API. They answer 429 or 503 before they look at a request."""
+    """Servers with the OpenAI-style API. A status of 429 or 503 means that they have not started the request."""
 
-    def request(self, query: Query, address: tuple[str, int], patience: float) -> bytes:
+    def request(self, query: Query, address: tuple[str, int], timeout: float) -> bytes:
         given = f"X-Request-Id: {query.txn}\r\n" if query.txn else ""
         return (
             f"{query.method} {query.target} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n{given}"
--- a/pearstall/net/platform.py
+++ b/pearstall/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform's wire: its front for clients, and its form of model server."""
+"""The platform's wire formats: its front for clients, and its form of model server."""
 
 from __future__ import annotations
 
@@ -14,63 +14,63 @@
 
 PATH = "/v1/chat/completions"
 HEALTH = "/_health"
-LONGEST_WAIT = 3600.0
-# Every other header of a client goes on to the model server, like the idempotency key of a class that has one: these
-# are of one connection only (RFC 9110, 7.6.1), worded anew, or for the router, which reads answers as they are made
-# and so asks for no coding of them.
-NOT_PASSED_ON = frozenset(
+MAX_WAIT_SECONDS = 3600.0
+# All other headers of a client are forwarded to the model server, like the idempotency key of a class that has one.
+# These are hop-by-hop headers (RFC 9110, 7.6.1), headers that the router sets itself, and headers for it only.
+# accept-encoding is among them because the router reads the events of answers, so they must not be compressed.
+NOT_FORWARDED = frozenset(
     (
         *("connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te"),
         *("trailer", "transfer-encoding", "upgrade", "host", "expect", "content-length", "content-type"),
         *("accept-encoding", "x-txn", "x-remaining", "x-lane", "x-org", "x-entity", "x-labels", "x-resent"),
     )
 )
-CACHED = re.compile(rb'"cached_tokens"\s*:\s*(\d{1,12})')
+CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*(\d{1,12})')
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
 
 
 def number_of(name: str) -> int:
-    """The same number for a name at every router and after every start; 0 for none."""
+    """A stable hash of a name: the same at every router and after every restart. 0 for an empty name."""
     if not name:
         return 0
-    # Only short names are remembered: clients choose them, and memory is bounded.
-    return _short(name) if len(name) <= 64 else _digest(name)
+    # Only short names are cached: clients choose the names, and memory must stay bounded.
+    return _cached_hash(name) if len(name) <= 64 else _hash(name)
 
 
-def _digest(name: str) -> int:
+def _hash(name: str) -> int:
     return int.from_bytes(blake2b(name.encode("latin-1", "replace"), digest_size=8).digest(), "little") or 1
 
 
-_short = lru_cache(maxsize=8192)(_digest)
+_cached_hash = lru_cache(maxsize=8192)(_hash)
 
 
 def decimal(text: str) -> float | None:
     return float(text) if DECIMAL.fullmatch(text.strip()) else None
 
 
-class Body(msgspec.Struct):
-    """An object is all that is asked of a body; servers know what it must hold."""
+class JsonObject(msgspec.Struct):
+    """A body only has to be an object here; its content is validated by the model servers."""
 
 
 class Labels:
-    """The pairs of an X-Labels header."""
+    """The key=value pairs of an X-Labels header."""
 
     def __init__(self, header: str) -> None:
         pairs = [label.partition("=") for label in header.split(",")]
-        self.text = {key.strip(): value.strip() for key, _, value in pairs}
+        self.values = {key.strip(): value.strip() for key, _, value in pairs}
 
-    def number(self, key: str, otherwise: float) -> float:
-        value = decimal(self.text.get(key, ""))
-        return otherwise if value is None else value
+    def number(self, key: str, default: float) -> float:
+        value = decimal(self.values.get(key, ""))
+        return default if value is None else value
 
 
 def end_to_end_headers(head: Head) -> str:
-    """The lines of a request's head that belong to its receiver, not to this connection."""
-    named = {name.strip().lower() for name in head.headers.get("connection", "").split(",")}
+    """The header lines of a request that are forwarded to the model server."""
+    hop_by_hop = {name.strip().lower() for name in head.headers.get("connection", "").split(",")}
     return "".join(
         f"{name}: {value}\r\n"
         for name, value in head.headers.items()
-        if name not in NOT_PASSED_ON and name not in named
+        if name not in NOT_FORWARDED and name not in hop_by_hop
     )
 
 
@@ -80,11 +80,11 @@
         self.adopt(names)
 
     def adopt(self, names: Names) -> None:
-        """What classes and tenants are called from now on."""
+        """Sets the names of classes and tenants."""
         self.lanes = {lane.name: number for number, lane in enumerate(names.lanes)}
         self.tenants = {account.name: number for number, account in enumerate(names.accounts)}
 
-    def check(self, head: Head) -> Reply | None:
+    def direct_reply(self, head: Head) -> Reply | None:
         if head.path == HEALTH:
             if head.method not in ("GET", "HEAD"):
                 return Reply(405, b"only GET\n", {"Allow": "GET"}, "text/plain")
@@ -95,7 +95,7 @@
             return Reply(405, b"only POST\n", {"Allow": "POST"}, "text/plain")
         return None
 
-    def read(self, head: Head, body: bytes, came: float, answer: Answer) -> Query | Reply:
+    def read(self, head: Head, body: bytes, received_at: float, answer: Answer) -> Query | Reply:
         headers = head.headers
         txn, lane = headers.get("x-txn", ""), self.lanes.get(headers.get("x-lane", ""))
         wait = decimal(headers.get("x-remaining", ""))
@@ -106,13 +106,13 @@
         if wait is None:
             return self.malformed(Malformed("X-Remaining is no number of seconds"))
         try:
-            msgspec.json.decode(body, type=Body)
+            msgspec.json.decode(body, type=JsonObject)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return self.malformed(Malformed("the body is no JSON object"))
         labels = Labels(headers.get("x-labels", ""))
         return Query(
             class_index=lane,
-            deadline=came + min(wait, LONGEST_WAIT),
+            deadline=received_at + min(wait, MAX_WAIT_SECONDS),
             answer=answer,
             method=head.method,
             target=head.target,
@@ -121,13 +121,13 @@
             txn=txn,
             prompt_tokens=labels.number("prompt_len", len(body) / 4),
             session=number_of(headers.get("x-entity", "")),
-            prefix=number_of(labels.text.get("prefix", "")),
+            prefix=number_of(labels.values.get("prefix", "")),
             prefix_tokens=labels.number("prefix_len", 0.0),
             tenant=self.tenants.get(headers.get("x-org", ""), len(self.tenants)),
             repeated=headers.get("x-resent", "").strip() == "1",
         )
 
-    def names_answer(self, head: Head | None) -> str:
+    def id_header_line(self, head: Head | None) -> str:
         return ""
 
     def malformed(self, why: Malformed) -> Reply:
@@ -142,17 +142,17 @@
     def failed(self, timed_out: bool) -> Reply:
         return Reply(504 if timed_out else 502)
 
-    def whole(self, query: Query, events: bytes) -> Reply:
+    def complete_answer(self, query: Query, events: bytes) -> Reply:
         return Reply(200, events, {}, "text/event-stream")
 
 
 class PlatformServer:
-    """How the platform's model servers are spoken to."""
+    """The wire form of the platform's model servers."""
 
-    def request(self, query: Query, address: tuple[str, int], patience: float) -> bytes:
+    def request(self, query: Query, address: tuple[str, int], timeout: float) -> bytes:
         head = (
             f"{query.method} {query.target} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n"
-            f"X-Txn: {query.txn}\r\nX-Remaining: {max(0.001, patience):.3f}\r\n"
+            f"X-Txn: {query.txn}\r\nX-Remaining: {max(0.001, timeout):.3f}\r\n"
             f"{query.headers}Content-Type: application/json\r\nContent-Length: {len(query.body)}\r\n\r\n"
         )
         return head.encode("latin-1") + query.body
@@ -161,11 +161,11 @@
         return head.status in (503, 504) and head.headers.get("x-turned-away", "").strip() == "1"
 
     def blames_query(self, head: Head) -> bool:
-        """What a server can't use is its client's fault: sent on, it would get good servers ejected."""
+        """A client error is the fault of the query: retried, it would get healthy servers ejected."""
         return 400 <= head.status < 500 and head.status not in (408, 429)
 
     def kept_tokens(self, events: bytes) -> int | None:
         if b'"usage"' not in events:
             return None
-        found = CACHED.findall(events)
+        found = CACHED_TOKENS.findall(events)
         return int(found[-1]) if found else None
--- a/pearstall/net/serve.py
+++ b/pearstall/net/serve.py
@@ -100,7 +100,7 @@
         self.core.watch = self.cluster.subscribe
         self.core.server_name = lambda replica: self.cluster.names.get(replica, str(replica))
         self.clients = ClientLinks(self.core, self.counters, clients)
-        self.clients.most_held = int(config.limits.memory_mb * BODY_MEMORY_FRACTION * (1 << 20))
+        self.clients.max_body_bytes = int(config.limits.memory_mb * BODY_MEMORY_FRACTION * (1 << 20))
         self.fronts: dict[tuple[str, int], PlatformFront | OpenAIFront] = {}
         if config.listen is not None:
             self.fronts[config.listen] = PlatformFront(config.names)
@@ -204,7 +204,10 @@
 
     def _check_finished(self) -> None:
         now = self.loop.time()
-        quiet = now - self.shutdown_started_at >= MIN_SHUTDOWN_SECONDS and now - self.clients.latest >= QUIET_SECONDS
+        quiet = (
+            now - self.shutdown_started_at >= MIN_SHUTDOWN_SECONDS
+            and now - self.clients.last_accept_at >= QUIET_SECONDS
+        )
         busy = any(link.closing or not link.idle or link.unsent for link in self.clients.links)
         settled = self.edge is None or self.edge.settled
         if quiet and not len(self.core.queries) and not busy and settled:
@@ -269,8 +272,8 @@
             links = updated.names.limits
             self.servers.connect_limit = links.connect_timeout / 1e6
             self.servers.idle_limit = IDLE_TIMEOUT_FRACTION * links.conn_idle / 1e6
-        self.clients.most, self.servers.most = connection_limits(updated.limits.sockets)
-        self.clients.most_held = int(updated.limits.memory_mb * BODY_MEMORY_FRACTION * (1 << 20))
+        self.clients.max_links, self.servers.max_links = connection_limits(updated.limits.sockets)
+        self.clients.max_body_bytes = int(updated.limits.memory_mb * BODY_MEMORY_FRACTION * (1 << 20))
         self.cluster.change_discovery(updated.discovery)
         if self.edge is not None:
             self.edge.reload(updated)
--- a/pearstall/net/server_link.py
+++ b/pearstall/net/server_link.py
@@ -1,4 +1,4 @@
-"""Links to model servers: kept for reuse by address, one execution at a time."""
+"""Connections to model servers: pooled by address, one execution at a time."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from pearstall.net.core import Blamed, Broken, Carrier, Core, Declined, End, Execution, Query, Reach, Served
 from pearstall.net.counters import Counters
 from pearstall.net.deadlines import Deadline, Deadlines
-from pearstall.net.events import LINES, EventSplitter
+from pearstall.net.events import WELL_FORMED_LINES, EventSplitter
 from pearstall.net.http1 import Body, Head, Malformed, body_of, read_head
 from pearstall.net.pending import pending
 from pearstall.net.slots import Slots
 
 Address = tuple[str, int]
-LARGEST_BLAME = 64 * 1024
-MOST_AHEAD = 16  # 1xx answers before the one that counts
-# A server may send a second answer some milliseconds behind the first. On a connection that was used again meanwhile
-# it would pass for the next request's, so a connection rests for this long between two requests.
-REST_BEFORE_REUSE = 0.05
-# After the loop was held up, a connection that is up may be found in the turn in which its deadline is due; to show
-# it needs so many turns more at most.
-TURNS_TO_COME_UP = 5
+MAX_ERROR_BODY_BYTES = 64 * 1024
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
+# A server may send a second answer some milliseconds after the first. On a connection that is already in use again,
+# it would be read as the answer to the next request, so a connection is not reused for this long after an answer.
+REUSE_DELAY_SECONDS = 0.05
+# When the event loop was blocked, an established connection may be noticed in the same iteration in which its connect
+# timeout fires. asyncio needs at most this many more iterations to report it.
+CONNECT_GRACE_ITERATIONS = 5
 
 
 class ServerForm(Protocol):
-    """How a kind of model server is spoken to."""
+    """The wire form of a kind of model server."""
 
-    def request(self, query: Query, address: Address, patience: float) -> bytes: ...
+    def request(self, query: Query, address: Address, timeout: float) -> bytes: ...
 
     def turned_away(self, head: Head) -> bool: ...
 
@@ -50,80 +50,82 @@
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.execution: Execution | None = None
-        self.written = False
+        self.written = False  # the whole request was handed to the kernel
         self.closed = False
         self.head: Head | None = None
         self.body: Body | None = None
         self.splitter = EventSplitter()
-        self.kept = 0
-        self.ahead = 0  # 1xx answers
-        self.received = self.ended = False
-        self.blame: list[bytes] = []  # the body of an error
-        self.deadline: Deadline | None = None  # of the connect, then of being idle
+        self.kept_tokens = 0
+        self.interim_responses = 0
+        self.event_forwarded = self.done_event_seen = False
+        self.error_body: list[bytes] = []
+        self.deadline: Deadline | None = None  # of the connect at first, later of an idle connection
         self.idle_since = 0.0
 
     # -- one execution -------------------------------------------------------------------------------------
 
     def begin(self, execution: Execution, form: ServerForm) -> None:
-        self._stop_clock()
+        self._cancel_deadline()
         self.form = form
         self.execution = execution
         self.head = self.body = None
         self.splitter = EventSplitter()
-        self.kept = self.ahead = 0
-        self.received = self.ended = False
-        self.blame = []
+        self.kept_tokens = self.interim_responses = 0
+        self.event_forwarded = self.done_event_seen = False
+        self.error_body = []
         self.written = False
         if self.transport is not None:
             self._write()
 
     def connect(self, limit: float) -> None:
-        self._note("connect")
-        self.deadline = self.owner.deadlines.after(limit, self._too_long)
+        self._trace("connect")
+        self.deadline = self.owner.deadlines.after(limit, self._connect_timed_out)
         self.connecting = asyncio.get_running_loop().create_task(self._connect())
 
-    def _too_long(self, turns: int = TURNS_TO_COME_UP) -> None:
+    def _connect_timed_out(self, iterations_left: int = CONNECT_GRACE_ITERATIONS) -> None:
         if self.transport is not None or self.closed:
             return
-        if turns:
-            asyncio.get_running_loop().call_soon(self._too_long, turns - 1)
+        if iterations_left:
+            asyncio.get_running_loop().call_soon(self._connect_timed_out, iterations_left - 1)
             return
-        self._note("too long")
-        self.fail("connect took too long")
+        self._trace("too long")
+        self.fail("connect timed out")
 
     async def _connect(self) -> None:
         try:
             await asyncio.get_running_loop().create_connection(lambda: self, *self.address)
         except OSError as error:
-            self._note(f"refused {error.errno}")
+            self._trace(f"refused {error.errno}")
             self.fail(f"connect: {error.strerror or error}")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        # No room above the socket's own: what is paused is partly written, what resumes is written whole.
+        # With no buffer above the socket's own, pause_writing means that the request is only partly written, and
+        # resume_writing that it is written completely.
         transport.set_write_buffer_limits(0)
         if self.closed or self.execution is None or not self._still_wanted(self.execution):
             self.close()
             return
-        self._note("made")
-        self._stop_clock()
+        self._trace("made")
+        self._cancel_deadline()
         self._write()
 
     def _still_wanted(self, execution: Execution) -> bool:
-        """While it came up, its client may have gone, its time passed, or its server begun to drain."""
-        found = self.owner.where(execution.replica)
-        listed = found is not None and found[0] == self.address
+        """While the connection was being established, the client may have left, the deadline may have passed, or the
+        server may have started to drain."""
+        target = self.owner.resolve(execution.replica)
+        listed = target is not None and target[0] == self.address
         return self.owner.core.still_needed(execution, listed)
 
-    def _note(self, what: str) -> None:
+    def _trace(self, what: str) -> None:
         if (trace := self.owner.core.trace) is not None and self.execution is not None:
             trace.link(what, self.execution.replica)
 
     def _write(self) -> None:
         assert self.transport is not None and self.execution is not None
         self.written = True
-        # Worded now: on a connection that came up late, less time is left than when it was asked for.
+        # Encoded only now: if the connection took long to establish, less time is left than when it was requested.
         left = self.execution.expires_at - self.owner.deadlines.clock.time()
         self.transport.write(self.form.request(self.execution.query, self.address, left))
 
@@ -141,23 +143,23 @@
             return Reach.FULLY_WRITTEN
         return Reach.PARTLY_WRITTEN if self.transport is not None else Reach.NOT_CONNECTED
 
-    # -- what comes back -----------------------------------------------------------------------------------
+    # -- the response --------------------------------------------------------------------------------------
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.room()
+        return self.buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
         self.buffer.wrote(nbytes)
         try:
             self._read()
-        except Exception as error:  # stops here: no other link is harmed
+        except Exception as error:  # contained here, so that no other connection is affected
             self.owner.counters.exceptions += 1
             self.fail(f"{type(error).__name__}: {error}")
 
     def _read(self) -> None:
         if self.execution is None:
             if len(self.buffer):
-                self.close()  # a server that speaks unasked: what it would say next answers nothing of ours
+                self.close()  # data without a request: it must not be taken for the answer to the next one
             return
         while self.head is None:
             head = read_head(self.buffer, response=True)
@@ -169,9 +171,9 @@
             if head.status >= 200:
                 self.head = head
                 continue
-            self.ahead += 1
-            if self.ahead > MOST_AHEAD:
-                self.fail("an answer that never begins")
+            self.interim_responses += 1
+            if self.interim_responses > MAX_INTERIM_RESPONSES:
+                self.fail("too many interim responses")
                 return
         head = self.head
         if self.body is None:
@@ -184,55 +186,61 @@
         if isinstance(data, Malformed):
             self.fail(data.why)
             return
-        broken = self.body.spoilt  # behind what came whole
+        error = self.body.error  # handled once the data before it has been passed on
         streams = head.headers.get("content-type", "").lower().startswith("text/event-stream")
         if self.form.blames_query(head):
-            self.blame.append(data)
+            self.error_body.append(data)
             if self.body.done:
-                kind = head.headers.get("content-type", "application/json")
-                self._done(Blamed(head.status, b"".join(self.blame), kind))
-            elif sum(map(len, self.blame)) > LARGEST_BLAME:
-                self.fail("an error without an end")
+                content_type = head.headers.get("content-type", "application/json")
+                self._complete(Blamed(head.status, b"".join(self.error_body), content_type))
+            elif sum(map(len, self.error_body)) > MAX_ERROR_BODY_BYTES:
+                self.fail("the body of an error response is too large")
             return
         if head.status != 200 or not streams:
-            self._done(Declined(self.form.turned_away(head)))
+            self._complete(Declined(self.form.turned_away(head)))
             return
         if data:
             events = self.splitter.feed(data)
             if isinstance(events, Malformed):
                 self.fail(events.why)
                 return
-            self._pass_on(events)
-            broken = broken or self.splitter.spoilt
-        if broken is not None:
-            self.fail(broken.why)
+            self._forward(events)
+            error = error or self.splitter.error
+        if error is not None:
+            self.fail(error.why)
         elif self.body.done:
-            self._stream_end()
+            self._finish_stream()
 
-    def _pass_on(self, events: bytes) -> None:
+    def _forward(self, events: bytes) -> None:
         if events and self.execution is not None:
-            kept = self.form.kept_tokens(events)
-            self.kept = self.kept if kept is None else kept
-            self.received = True
-            self.ended = events.rstrip().endswith(b"[DONE]")
+            tokens = self.form.kept_tokens(events)
+            self.kept_tokens = self.kept_tokens if tokens is None else tokens
+            self.event_forwarded = True
+            self.done_event_seen = events.rstrip().endswith(b"[DONE]")
             self.owner.core.received(self.execution, events)
 
-    def _stream_end(self) -> None:
-        rest = self.splitter.rest
-        if rest and self.body is not None and self.body.until_close and not rest.rstrip().endswith(b"[DONE]"):
-            self.fail("the link ended within an event")  # passed on, half of it would be an event of its own
+    def _finish_stream(self) -> None:
+        remainder = self.splitter.remainder
+        if (
+            remainder
+            and self.body is not None
+            and self.body.until_close
+            and not remainder.rstrip().endswith(b"[DONE]")
+        ):
+            self.fail("the connection closed within an event")  # the client would read a partial event as complete
             return
-        if rest:
-            if not LINES.fullmatch(rest + b"\n"):
-                self.fail("an event that is none")
+        if remainder:
+            if not WELL_FORMED_LINES.fullmatch(remainder + b"\n"):
+                self.fail("the stream contains a malformed event")
                 return
-            self._pass_on(rest)
-        if not self.received:
-            self.fail("a stream without an event")
-        elif self.body is not None and self.body.until_close and not self.ended:
-            self.fail("the link ended before the stream")  # nothing else tells its end from a break
+            self._forward(remainder)
+        if not self.event_forwarded:
+            self.fail("the stream contains no event")
+        elif self.body is not None and self.body.until_close and not self.done_event_seen:
+            # Without framing, only [DONE] distinguishes a complete stream from a broken connection.
+            self.fail("the connection closed before the end of the stream")
         else:
-            self._done(Served(self.kept))
+            self._complete(Served(self.kept_tokens))
 
     def eof_received(self) -> bool:
         return False
@@ -241,21 +249,22 @@
         if not self.closed and error is None and self.body is not None and self.body.until_close:
             self.closed = True
             if self.execution is not None:
-                self._stream_end()
+                self._finish_stream()
             self.close()
             return
-        self.fail(f"the link ended{f': {error}' if error else ''}")
+        self.fail(f"the connection was lost{f': {error}' if error else ''}")
 
     # -- its end -------------------------------------------------------------------------------------------
 
-    def _done(self, end: End) -> None:
-        """An answer is whole as far as the execution goes. The link is free before its end is told."""
+    def _complete(self, end: End) -> None:
+        """The execution has its answer. The connection is released before the core is notified, so that a next
+        execution can use it."""
         execution, self.execution = self.execution, None
         clean = self.body is not None and self.body.done and self.written and not len(self.buffer)
-        if clean and self.head is not None and self.head.keeps and not self.closed:
+        if clean and self.head is not None and self.head.keep_alive and not self.closed:
             self.pause(False)
-            self.buffer.rest()
-            self.owner.free(self)
+            self.buffer.release_memory()
+            self.owner.release(self)
         else:
             self.close()
         if execution is not None:
@@ -273,15 +282,15 @@
         self.close()
 
     def close(self) -> None:
-        """At once, so that the next execution finds no earlier one on an open connection: the transport
-        itself would close its socket a turn of the loop later."""
+        """Shuts the socket down at once, so that no earlier execution has an open connection when the next one
+        starts: the transport itself closes its socket only in the next iteration of the event loop."""
         self.closed = True
-        self._stop_clock()
+        self._cancel_deadline()
         if self.transport is not None:
-            end: socket.socket | None = self.transport.get_extra_info("socket")
-            with contextlib.suppress(OSError):  # the other side was quicker
-                if end is not None:
-                    end.shutdown(socket.SHUT_RDWR)
+            sock: socket.socket | None = self.transport.get_extra_info("socket")
+            with contextlib.suppress(OSError):  # the server has closed it already
+                if sock is not None:
+                    sock.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
         elif self.connecting is not None:
             self.connecting.cancel()
@@ -290,7 +299,7 @@
     def _drop(self) -> None:
         self.owner.drop(self)
 
-    def _stop_clock(self) -> None:
+    def _cancel_deadline(self) -> None:
         if self.deadline is not None:
             self.deadline.cancel()
             self.deadline = None
@@ -310,30 +319,30 @@
         counters: Counters,
         connect_limit: float,
         idle_limit: float,
-        most: int,
-        where: Callable[[int], tuple[Address, ServerForm] | None],
+        max_links: int,
+        resolve: Callable[[int], tuple[Address, ServerForm] | None],
     ) -> None:
         self.deadlines = deadlines
         self.counters = counters
         self.connect_limit = connect_limit
         self.idle_limit = idle_limit
-        self.most = most
-        self.where = where
-        self.core: Core  # set by the one that puts the parts together
+        self.max_links = max_links
+        self.resolve = resolve
+        self.core: Core  # set once the core has been created: each refers to the other
         self.links: Slots[ServerLink] = Slots()
         self.idle: dict[Address, list[ServerLink]] = {}
 
     def start(self, execution: Execution) -> Carrier | None:
-        found = self.where(execution.replica)
-        if found is None:
+        target = self.resolve(execution.replica)
+        if target is None:
             return None
-        address, form = found
+        address, form = target
         if (link := self._take_idle(address)) is not None:
             self.counters.server_links_reused += 1
             link.begin(execution, form)
             return link
-        if len(self.links) >= self.most:
-            self._make_room()
+        if len(self.links) >= self.max_links:
+            self._close_one_idle()
         link = ServerLink(self, address)
         self.counters.server_links += 1
         link.begin(execution, form)
@@ -341,36 +350,37 @@
         return link
 
     def _take_idle(self, address: Address) -> ServerLink | None:
-        """The latest used one that has rested: the others get to close."""
-        rested_since = self.deadlines.clock.time() - REST_BEFORE_REUSE
+        """The most recently used connection that is past its reuse delay, so that surplus ones reach their idle
+        timeout."""
+        idle_before = self.deadlines.clock.time() - REUSE_DELAY_SECONDS
         for link in reversed(self.idle.get(address, [])):
-            if link.idle_since > rested_since:
+            if link.idle_since > idle_before:
                 continue
             if link.transport is None or link.transport.is_closing() or pending(link.transport):
-                link.close()  # its end has come but was not read yet: the query would be a reset
+                link.close()  # the server's close has arrived but was not read yet: the query would get a reset
                 continue
             self.idle[address].remove(link)
             return link
         return None
 
-    def _make_room(self) -> None:
+    def _close_one_idle(self) -> None:
         for links in self.idle.values():
             if links:
                 links[0].close()
                 return
 
-    def free(self, link: ServerLink) -> None:
+    def release(self, link: ServerLink) -> None:
         link.idle_since = self.deadlines.clock.time()
         self.idle.setdefault(link.address, []).append(link)
         link.deadline = self.deadlines.after(self.idle_limit, link.close)
 
     def drop(self, link: ServerLink) -> None:
         self.links.remove(link.handle)
-        waiting = self.idle.get(link.address)
-        if waiting and link in waiting:
-            waiting.remove(link)
-        if waiting is not None and not waiting:
-            del self.idle[link.address]  # servers come and go: what is kept of them goes as well
+        idle = self.idle.get(link.address)
+        if idle and link in idle:
+            idle.remove(link)
+        if idle is not None and not idle:
+            del self.idle[link.address]  # servers come and go: an entry for each address ever seen would add up
 
     def close(self) -> None:
         for link in self.links:
--- a/tests/net_support.py
+++ b/tests/net_support.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for clients, model servers and discovery, and the parsers' one shared helper."""
+"""Fake clients, model servers and routers on loopback sockets, and a helper for parser tests."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 def feed(data: bytes, sizes: list[int], parse: Callable[[Buffer], T]) -> list[T]:
-    """What a parser says after each piece of the data, cut at these sizes over and over."""
-    buffer, said, at, turn = Buffer(), [], 0, 0
+    """The results of a parser after each piece of the data, which is cut into these sizes repeatedly."""
+    buffer, results, at, piece = Buffer(), [], 0, 0
     while at < len(data):
-        size = sizes[turn % len(sizes)]
+        size = sizes[piece % len(sizes)]
         buffer.add(data[at : at + size])
-        said.append(parse(buffer))
-        at, turn = at + size, turn + 1
-    return said
+        results.append(parse(buffer))
+        at, piece = at + size, piece + 1
+    return results
 
 
 def setup(**changes: Any) -> dict[str, Any]:
@@ -54,7 +54,7 @@
 
 
 class PrintedLog:
-    """The router's log on the test's own standard error, line by line as it is written."""
+    """Prints the router's log to the standard error of the test."""
 
     def write(self, data: bytes) -> int:
         sys.stderr.write(data.decode())
@@ -73,7 +73,7 @@
 async def running(
     folder: Path, servers: list[ModelServer], form: str = "platform", discovery: int = 0, **config: Any
 ) -> AsyncIterator[tuple[Program, dict[str, int]]]:
-    """A router on loopback: with its platform port, its OpenAI-style port, and these servers listed."""
+    """A router on loopback with a platform port and an OpenAI-style port, which lists these servers."""
     ports = {"platform": free_port(), "openai": free_port()}
     hosts = [f"s{n},{LOCAL}:{server.port},a,m1" for n, server in enumerate(servers)]
     (folder / "hosts.csv").write_text("\n".join(["name,address,zone,type", *hosts]))
@@ -85,8 +85,8 @@
     )
     env = {"EDGE_DISCOVERY": f"{LOCAL}:{discovery}"} if discovery else {}
     inventory = "" if discovery else str(folder / "hosts.csv")
-    made = read_config(env, str(folder / "openai.toml"), inventory, str(folder / "config.json"))
-    program = Program(made, log=EventLog(PrintedLog()))
+    config_read = read_config(env, str(folder / "openai.toml"), inventory, str(folder / "config.json"))
+    program = Program(config_read, log=EventLog(PrintedLog()))
     await program.start()
     try:
         yield program, ports
@@ -94,14 +94,14 @@
         await program.close()
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(20):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 class Wire:
-    """One end of a connection, read with the project's parsers."""
+    """One end of a connection, read with the parsers of the project."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.buffer = reader, writer, Buffer()
@@ -119,7 +119,7 @@
         return head
 
     async def body(self, head: Head) -> tuple[bytes, bool]:
-        """The body, and whether its end came."""
+        """The body, and whether it was complete."""
         body = body_of(head)
         assert isinstance(body, Body)
         data = b""
@@ -134,7 +134,7 @@
 
 
 def stream(form: str, chat: bool = True) -> list[bytes]:
-    """The events of one answer, as each form's public description has them."""
+    """The events of one answer, as the public description of each form defines them."""
     kind = "chat.completion.chunk" if chat else "text_completion"
     base = {"id": "c1", "object": kind, "created": 5, "model": "chat"} if form == "openai" else {}
     rows: list[dict[str, Any]] = []
@@ -147,8 +147,8 @@
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-# What a server may send in place of an answer's opening, with its link left open behind it.
-SPOILT = {
+# Sent in place of the start of an answer, after which the connection stays open.
+MALFORMED_ANSWERS = {
     "noise": b"\x07\x93 no line and no end",
     "late noise": b"HTTP/1.1 200 OK\r\nno header\r\nA: b\r\n",
     "endless": b"HTTP/1.1 200 OK\r\n" + b"A: b\r\n" * 9000,
@@ -159,8 +159,8 @@
     "long": HEAD + b"15\r\ndata: x\r\n9\r\ndata: y\n\n\r\n",
     "empty": HEAD + b"0\r\n\r\n",
 }
-# Good answers with more than belongs to them.
-MORE = {
+# Valid answers with something additional before, within or after them.
+ANSWERS_WITH_EXTRAS = {
     "1xx": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n",
     "report": HEAD[:-2] + b"X-Load: \x01\x02;;=\r\n\r\n",
     "second": b"",
@@ -168,20 +168,20 @@
 
 
 class ModelServer:
-    """Plays its script, a word a request; then it serves."""
+    """Follows its script, one word per request, and serves normally after its end."""
 
     def __init__(self, form: str, *script: str) -> None:
         self.form, self.script = form, list(script)
         self.seen: list[tuple[Head, bytes]] = []
-        self.out = self.most_out = self.links = 0
+        self.in_flight = self.max_in_flight = self.connections = 0
         self.port = 0
         self.go_on = asyncio.Event()
-        self.seen_event = asyncio.Semaphore(0)  # its client has an event
+        self.event_received = asyncio.Semaphore(0)  # released once the client has received an event
         self.open: set[asyncio.StreamWriter] = set()
 
     @asynccontextmanager
     async def listening(self) -> AsyncIterator[ModelServer]:
-        server = await asyncio.start_server(self._link, LOCAL, 0)
+        server = await asyncio.start_server(self._serve, LOCAL, 0)
         self.port = server.sockets[0].getsockname()[1]
         try:
             yield self
@@ -192,85 +192,85 @@
                 writer.close()
             await until(lambda: not self.open)
 
-    async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.links += 1
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.connections += 1
         self.open.add(writer)
         wire = Wire(reader, writer)
         try:
             while (head := await wire.head(False)) is not None:
                 body, _ = await wire.body(head)
                 self.seen.append((head, body))
-                self.out += 1
-                self.most_out = max(self.most_out, self.out)
+                self.in_flight += 1
+                self.max_in_flight = max(self.max_in_flight, self.in_flight)
                 try:
                     if not await self._answer(wire, self.script.pop(0) if self.script else "serve"):
                         return
                 finally:
-                    self.out -= 1
+                    self.in_flight -= 1
         except ConnectionError:
             pass
         finally:
             writer.close()
             self.open.discard(writer)
 
-    async def _answer(self, wire: Wire, what: str) -> bool:
+    async def _answer(self, wire: Wire, step: str) -> bool:
         writer = wire.writer
-        if what == "silent":
-            await wire.more()  # until the router goes
+        if step == "silent":
+            await wire.more()  # until the router closes
             return False
-        if what == "reset":
+        if step == "reset":
             return False
-        if what == "blame":
+        if step == "blame":
             head = "HTTP/1.1 400 Bad\r\nContent-Type: application/json\r\nContent-Length: 18\r\n\r\n"
             writer.write(head.encode() + b'{"error":"no mud"}')
             return True
-        if what == "hold error":
+        if step == "hold error":
             await self.go_on.wait()
-            what = "error"
-        if what in ("error", "away"):
-            status = "500 Oops" if what == "error" else "503 Busy"
-            mark = "X-Turned-Away: 1\r\n" if what == "away" and self.form == "platform" else ""
+            step = "error"
+        if step in ("error", "away"):
+            status = "500 Oops" if step == "error" else "503 Busy"
+            mark = "X-Turned-Away: 1\r\n" if step == "away" and self.form == "platform" else ""
             writer.write(f"HTTP/1.1 {status}\r\n{mark}Content-Length: 0\r\n\r\n".encode())
             return True
-        if what == "hold":
+        if step == "hold":
             await self.go_on.wait()
-        if what == "half an event":  # its connection's end is the only end that this answer has
+        if step == "half an event":  # only the end of the connection ends this answer
             opening = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
             writer.write(opening + b"data: x\n\ndata: {")
             await writer.drain()
             return False
-        if what in SPOILT or what.startswith("then "):
-            spoilt = SPOILT[what.removeprefix("then ")]
-            if what.startswith("then "):  # spoilt behind a first event
-                spoilt = HEAD + b"9\r\ndata: x\n\n\r\n" + spoilt.removeprefix(HEAD)
-            writer.write(spoilt)
-            await wire.more()  # the link stays open
+        if step in MALFORMED_ANSWERS or step.startswith("then "):
+            malformed = MALFORMED_ANSWERS[step.removeprefix("then ")]
+            if step.startswith("then "):  # malformed after a first event
+                malformed = HEAD + b"9\r\ndata: x\n\n\r\n" + malformed.removeprefix(HEAD)
+            writer.write(malformed)
+            await wire.more()  # the connection stays open
             return False
         events = stream(self.form, self.seen[-1][0].path == PATH)
-        if what == "flood":
+        if step == "flood":
             events = FLOOD
-        if what == "late second" and self.links == 1:
-            writer.write(HEAD + b"9\r\ndata: z\n\n\r\n0\r\n\r\n")  # to a request that was answered before
-        writer.write(MORE["report"] if what == "report" else MORE.get(what, b"") + HEAD)
+        if step == "late second" and self.connections == 1:
+            writer.write(HEAD + b"9\r\ndata: z\n\n\r\n0\r\n\r\n")  # to a request that was already answered
+        writer.write(ANSWERS_WITH_EXTRAS["report"] if step == "report" else ANSWERS_WITH_EXTRAS.get(step, b"") + HEAD)
         for number, event in enumerate(events):
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
-            if what == "half" and number == 1:
+            if step == "half" and number == 1:
                 await writer.drain()
                 return False
-            if what == "wait" and number == 0:
+            if step == "wait" and number == 0:
                 await self.go_on.wait()
-            if what == "one by one":
-                await self.seen_event.acquire()
+            if step == "one by one":
+                await self.event_received.acquire()
         writer.write(b"0\r\n\r\n")
-        if what == "second":
+        if step == "second":
             writer.write(HEAD + b"9\r\ndata: z\n\n\r\n0\r\n\r\n")
         await writer.drain()
         return True
 
 
 class Client:
-    """A client of either front, on a connection it keeps."""
+    """A client of either front, which reuses its connection."""
 
     def __init__(self, front: str, port: int, name: str = "t") -> None:
         self.front, self.port, self.name, self.count = front, port, name, 0
@@ -285,22 +285,22 @@
         self.count += 1
         content = [{"role": "system", "content": "be kind"}, {"role": "user", "content": "hi"}]
         body = json.dumps({"model": "chat", "stream": True, "messages": content, **fields}).encode()
-        named = {"X-Txn": f"{self.name}{self.count}", "X-Lane": "chat", "X-Org": "acme", "X-Entity": "e1",
+        headers = {"X-Txn": f"{self.name}{self.count}", "X-Lane": "chat", "X-Org": "acme", "X-Entity": "e1",
                  "X-Labels": "prompt_len=50"}  # fmt: skip
         if self.front == "openai":
-            named = {"X-Request-Id": f"{self.name}{self.count}", "Authorization": "Bearer k"}
+            headers = {"X-Request-Id": f"{self.name}{self.count}", "Authorization": "Bearer k"}
         lines = [f"POST {PATH} HTTP/1.1", "Host: x", f"X-Remaining: {wait}", f"Content-Length: {len(body)}"]
-        lines += [f"{name}: {value}" for name, value in named.items()]
+        lines += [f"{name}: {value}" for name, value in headers.items()]
         wire = await self.connect()
         wire.writer.write("\r\n".join([*lines, "", ""]).encode() + body)
 
     async def answer(self) -> tuple[str, Head, bytes]:
-        """served, refused, failed or cut; with head and body."""
+        """served, refused, failed or cut, with the head and the body."""
         wire = await self.connect()
         head = await wire.head(True)
         assert head is not None
         body, whole = await wire.body(head)
-        if not whole or not head.keeps:
+        if not whole or not head.keep_alive:
             self.close()
         kind = {200: "served" if whole else "cut", 503: "refused", 429: "refused"}
         return kind.get(head.status, "failed"), head, body
--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -1,4 +1,4 @@
-"""What every client is owed, over loopback: no attempt after it has left, and an answer for all that was read."""
+"""Guarantees for every client, over loopback: no attempt after it has left, and an answer to every query read."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from pearstall.net.core import Execution
 from pearstall.net.server_link import ServerLink
 from tests.net_support import LOCAL, PATH, Client, ModelServer, running, until
-from tests.test_crossings import routed
+from tests.test_crossings import router_and_server
 
-SLACK = 0.15  # between the time that a server is told and what its client has left
+TOLERANCE_SECONDS = 0.15  # between the X-Remaining of a server and the time that its client has left
 
 
 def request(number: int, wait: float = 6.0, body: bytes = b"{}") -> bytes:
@@ -34,22 +34,22 @@
 
 
 def send_and_close(end: socket.socket) -> None:
-    end.sendall(request(2)[:40])  # bytes that wait unread before its end
+    end.sendall(request(2)[:40])  # unread bytes before the close
     end.close()
 
 
-WAYS: list[Callable[[socket.socket], None]] = [socket.socket.close, reset, half_close, send_and_close]
-ways = pytest.mark.parametrize("leave", WAYS, ids=["close", "reset", "half close", "bytes and close"])
+WAYS_TO_LEAVE: list[Callable[[socket.socket], None]] = [socket.socket.close, reset, half_close, send_and_close]
+ways = pytest.mark.parametrize("leave", WAYS_TO_LEAVE, ids=["close", "reset", "half close", "bytes and close"])
 
 
 @ways
 def test_no_further_attempt_begins_for_a_client_that_has_left(
     leave: Callable[[socket.socket], None], tmp_path: Path
 ) -> None:
-    """Its end and the first attempt's failure come in the same turn of the loop."""
+    """Its close and the failure of the first attempt arrive in the same iteration of the event loop."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "hold error", "serve") as (server, program, port):
+        async with router_and_server(tmp_path, "hold error", "serve") as (server, program, port):
             end = socket.create_connection((LOCAL, port))
             end.sendall(request(1))
             await until(lambda: len(server.seen) == 1)
@@ -64,7 +64,7 @@
 
 
 @ways
-def test_nothing_is_written_on_a_connection_that_came_up_after_the_client_left(
+def test_nothing_is_written_on_a_connection_established_after_the_client_left(
     leave: Callable[[socket.socket], None], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     connect, begun, go_on = ServerLink._connect, asyncio.Event(), asyncio.Event()
@@ -77,7 +77,7 @@
     monkeypatch.setattr(ServerLink, "_connect", late)
 
     async def scene() -> None:
-        async with routed(tmp_path) as (server, program, port):
+        async with router_and_server(tmp_path) as (server, program, port):
             end = socket.create_connection((LOCAL, port))
             end.sendall(request(1))
             await begun.wait()
@@ -91,12 +91,12 @@
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("trouble", ["silent", "reset", "error", "noise", "endless", "away"])
-def test_trouble_at_all_servers_frees_no_request_of_its_answer(trouble: str, tmp_path: Path) -> None:
-    """Each of many requests has one final answer by its deadline, on connections of its own."""
+@pytest.mark.parametrize("fault", ["silent", "reset", "error", "noise", "endless", "away"])
+def test_every_request_is_answered_while_all_servers_fail(fault: str, tmp_path: Path) -> None:
+    """Each of many requests, on a connection of its own, gets one final answer by its deadline."""
 
     async def scene() -> None:
-        async with routed(tmp_path, *[trouble] * 300) as (server, program, port):
+        async with router_and_server(tmp_path, *[fault] * 300) as (server, program, port):
             clients = [Client("platform", port, f"c{n}") for n in range(12)]
             began = asyncio.get_running_loop().time()
             kinds = [kind for kind, _, _ in await asyncio.gather(*[client.ask(0.6) for client in clients])]
@@ -107,9 +107,9 @@
     asyncio.run(scene())
 
 
-def test_garbage_and_floods_of_others_end_their_own_connections_only(tmp_path: Path) -> None:
+def test_garbage_and_floods_only_close_their_own_connections(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with routed(tmp_path, *["hold"] * 4) as (server, program, port):
+        async with router_and_server(tmp_path, *["hold"] * 4) as (server, program, port):
             clients = [Client("platform", port, f"c{n}") for n in range(4)]
             for client in clients:
                 await client.send()
@@ -127,11 +127,11 @@
     asyncio.run(scene())
 
 
-def test_what_comes_behind_a_request_takes_no_answer_from_it(tmp_path: Path) -> None:
-    """Bytes that are no request, behind one that is under way."""
+def test_garbage_behind_a_request_does_not_affect_its_answer(tmp_path: Path) -> None:
+    """Bytes that are not a request, after one that is in progress."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "hold") as (server, _, port):
+        async with router_and_server(tmp_path, "hold") as (server, _, port):
             client = Client("platform", port)
             await client.send()
             wire = await client.connect()
@@ -146,8 +146,8 @@
 
 
 @pytest.mark.parametrize("attempts", [1, 2, 3])
-def test_a_server_is_told_at_most_what_its_client_has_left(attempts: int, tmp_path: Path) -> None:
-    """At first and further attempts, for a body that came slowly."""
+def test_a_server_gets_at_most_the_time_that_its_client_has_left(attempts: int, tmp_path: Path) -> None:
+    """In the first and later attempts, for a body that arrived slowly."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
@@ -155,14 +155,14 @@
             server = await stack.enter_async_context(ModelServer("platform", *script).listening())
             program, ports = await stack.enter_async_context(running(tmp_path, [server]))
             clock = asyncio.get_running_loop().time
-            told: list[float] = []
-            begin = program.servers.start
+            left_at_start: list[float] = []
+            start = program.servers.start
 
-            def note(execution: Execution) -> object:
-                told.append(execution.query.deadline - clock())
-                return begin(execution)
+            def record(execution: Execution) -> object:
+                left_at_start.append(execution.query.deadline - clock())
+                return start(execution)
 
-            program.core.servers.start = note  # type: ignore[method-assign, assignment]
+            program.core.servers.start = record  # type: ignore[method-assign, assignment]
             whole = request(1, wait=3.0, body=b'{"a": "' + b"x" * 2000 + b'"}')
             reader, writer = await asyncio.open_connection(LOCAL, ports["platform"])
             sent = clock()
@@ -170,9 +170,9 @@
                 writer.write(whole[at : at + 500])
                 await asyncio.sleep(0.1)
             await until(lambda: len(server.seen) == attempts)
-            for (head, _), left in zip(server.seen, told, strict=True):
+            for (head, _), left in zip(server.seen, left_at_start, strict=True):
                 remaining = float(head.headers["x-remaining"])
-                assert remaining <= left + 0.001 and remaining <= 3.0 - 0.4 + SLACK
+                assert remaining <= left + 0.001 and remaining <= 3.0 - 0.4 + TOLERANCE_SECONDS
             assert clock() - sent < 3.0
             writer.close()
 
@@ -181,11 +181,11 @@
 
 @pytest.mark.parametrize("header", [b"X-Lane:chat", b"x-lane: \t chat \t", b"X-LANE: chat"])
 @pytest.mark.parametrize("piece", [1, 7, 4096])
-def test_a_class_is_known_by_any_form_of_its_header_in_pieces_of_any_size(
+def test_a_class_header_is_read_in_any_spelling_and_in_pieces_of_any_size(
     header: bytes, piece: int, tmp_path: Path
 ) -> None:
     async def scene() -> None:
-        async with routed(tmp_path) as (server, program, port):
+        async with router_and_server(tmp_path) as (server, program, port):
             reader, writer = await asyncio.open_connection(LOCAL, port)
             whole = request(1).replace(b"X-Lane: chat", header)
             for at in range(0, len(whole), piece):
@@ -199,11 +199,9 @@
 
 
 @pytest.mark.parametrize(("headers", "unknown"), [(b"X-Lane: chat\r\nX-Lane: agent", 0), (b"X-Lane: CHAT", 1)])
-def test_a_class_named_twice_or_by_another_name_is_the_clients_fault(
-    headers: bytes, unknown: int, tmp_path: Path
-) -> None:
+def test_a_repeated_or_unknown_class_is_a_client_error(headers: bytes, unknown: int, tmp_path: Path) -> None:
     async def scene() -> None:
-        async with routed(tmp_path) as (server, program, port):
+        async with router_and_server(tmp_path) as (server, program, port):
             reader, writer = await asyncio.open_connection(LOCAL, port)
             writer.write(request(1).replace(b"X-Lane: chat", headers))
             assert (await reader.readline()).startswith(b"HTTP/1.1 400")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,7 @@
-"""Two things that happen in the same moment, one test a pair; docs/design/crossings.md lists them.
+"""Tests of two things that happen at the same moment, one test per pair; docs/design/crossings.md lists the pairs.
 
-The order is forced: by the peers on loopback sockets, by a file that the program waits for, or by holding the loop.
+The order is forced: by the peers on loopback sockets, by a file that the program waits for, or by blocking the event
+loop.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 from pearstall.interface import ListKind, Result, Send
 from pearstall.models.client import Transport
 from pearstall.net import serve, server_link
-from pearstall.net.buffer import KEPT
-from pearstall.net.client_link import LINGER, MOST_AHEAD, ClientLink, ClientLinks
+from pearstall.net.buffer import MAX_RETAINED_BYTES
+from pearstall.net.client_link import LINGER_SECONDS, MAX_PIPELINED_BYTES, ClientLink, ClientLinks
 from pearstall.net.config import Named, Names, read_config
 from pearstall.net.core import Carrier, Execution
 from pearstall.net.inventory import Host, HostList
@@ -44,31 +45,31 @@
 
 
 @asynccontextmanager
-async def routed(folder: Path, *script: str) -> AsyncIterator[tuple[ModelServer, Program, int]]:
-    """A model server that plays this script, a router before it, and the port of its front."""
+async def router_and_server(folder: Path, *script: str) -> AsyncIterator[tuple[ModelServer, Program, int]]:
+    """A model server that follows this script, a router in front of it, and the port of the router's front."""
     async with ModelServer("platform", *script).listening() as server, running(folder, [server]) as (program, ports):
         yield server, program, ports["platform"]
 
 
-async def streaming(program: Program) -> None:
-    """Until a first event was passed on."""
+async def until_streaming(program: Program) -> None:
+    """Waits until a first event was passed on."""
     await until(lambda: any(query.forwarded for query in program.core.queries))
 
 
 def no_delay(transport: asyncio.BaseTransport | None) -> bool:
     assert transport is not None
-    end: socket.socket = transport.get_extra_info("socket")
-    return bool(end.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+    sock: socket.socket = transport.get_extra_info("socket")
+    return bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
 
-def test_small_events_are_not_held_back_on_either_side(tmp_path: Path) -> None:
-    """Without TCP_NODELAY the kernel keeps an event until the one before is acknowledged; a reset takes it along."""
+def test_small_events_are_not_delayed_on_either_side(tmp_path: Path) -> None:
+    """Without TCP_NODELAY, the kernel delays an event until the previous one is acknowledged; a reset discards it."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "wait") as (server, program, port):
+        async with router_and_server(tmp_path, "wait") as (server, program, port):
             client = Client("platform", port)
             await client.send()
-            await streaming(program)
+            await until_streaming(program)
             (downstream,) = program.clients.links
             (upstream,) = program.servers.links
             assert no_delay(downstream.transport) and no_delay(upstream.transport)
@@ -78,11 +79,12 @@
     asyncio.run(scene())
 
 
-def test_each_event_goes_on_before_the_next_one_comes(tmp_path: Path) -> None:
-    """Its server makes the next one only once the client has it: were events gathered, none would come."""
+def test_each_event_is_forwarded_before_the_next_one_arrives(tmp_path: Path) -> None:
+    """The server sends the next event only after the client has received the last one. If the router collected
+    events, the stream would stall."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "one by one") as (server, _, port):
+        async with router_and_server(tmp_path, "one by one") as (server, _, port):
             client = Client("platform", port)
             await client.send()
             wire = await client.connect()
@@ -90,35 +92,35 @@
             for event in stream("platform"):
                 while event not in wire.buffer.peek(len(wire.buffer)):
                     assert await wire.more()
-                server.seen_event.release()
+                server.event_received.release()
 
     asyncio.run(scene())
 
 
-def test_one_busy_connection_is_read_a_part_at_a_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Others' events wait for one such part at most."""
+def test_one_busy_connection_is_read_in_bounded_parts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Events on other connections wait for at most one such part."""
     sizes = []
-    take = ServerLink.buffer_updated
+    original = ServerLink.buffer_updated
 
-    def noted(self: ServerLink, nbytes: int) -> None:
+    def recorded(self: ServerLink, nbytes: int) -> None:
         sizes.append(nbytes)
-        take(self, nbytes)
+        original(self, nbytes)
 
-    monkeypatch.setattr(ServerLink, "buffer_updated", noted)
+    monkeypatch.setattr(ServerLink, "buffer_updated", recorded)
 
     async def scene() -> None:
-        async with routed(tmp_path, "flood") as (_, _, port):
+        async with router_and_server(tmp_path, "flood") as (_, _, port):
             assert (await Client("platform", port).ask())[0] == "served"
 
     asyncio.run(scene())
-    assert sum(sizes) > 20_000_000 and max(sizes) <= 2 * KEPT
+    assert sum(sizes) > 20_000_000 and max(sizes) <= 2 * MAX_RETAINED_BYTES
 
 
 # -- the start ---------------------------------------------------------------------------------------------
 
 
-class HeldAtItsConfiguration:
-    """A process that reads its configuration from a pipe, and so waits there until a test has written it."""
+class BlockedOnConfiguration:
+    """A router process that reads its configuration from a pipe, and blocks until a test has written it."""
 
     def __init__(self, folder: Path) -> None:
         self.pipe = folder / "config"
@@ -126,24 +128,24 @@
         command = [sys.executable, "-m", "pearstall", "--config", str(self.pipe)]
         self.process = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
 
-    def __enter__(self) -> HeldAtItsConfiguration:
+    def __enter__(self) -> BlockedOnConfiguration:
         return self
 
     def __exit__(self, *error: object) -> None:
         self.process.kill()
         self.process.communicate()
 
-    def reading(self) -> int:
-        """The pipe's other end, once the program waits at it."""
+    def wait_for_read(self) -> int:
+        """The other end of the pipe, once the process reads from it."""
         while self.process.poll() is None:
             try:
                 return os.open(self.pipe, os.O_WRONLY | os.O_NONBLOCK)
-            except OSError:  # nobody reads yet
+            except OSError:  # it is not reading yet
                 time.sleep(0.005)
         raise AssertionError(f"the program has ended with {self.process.returncode}")
 
-    def give(self, end: int) -> None:
-        """The configuration, and a new pipe in the place of this one."""
+    def write_configuration(self, end: int) -> None:
+        """Writes the configuration, and replaces the pipe by a new one for the next read."""
         self.pipe.unlink()
         os.mkfifo(self.pipe)
         where = {"listen": f"{LOCAL}:{free_port()}", "discovery": f"{LOCAL}:1"}
@@ -151,45 +153,45 @@
         os.close(end)
 
 
-def test_a_reload_told_during_the_start_is_made_after_it(tmp_path: Path) -> None:
-    with HeldAtItsConfiguration(tmp_path) as held:
-        end = held.reading()
-        held.process.send_signal(signal.SIGHUP)
-        held.process.send_signal(signal.SIGUSR1)
-        held.give(end)
-        held.give(held.reading())
-        held.process.send_signal(signal.SIGTERM)
-        _, errors = held.process.communicate(timeout=60)
-        assert held.process.returncode == 0
+def test_a_reload_requested_during_the_start_is_made_after_it(tmp_path: Path) -> None:
+    with BlockedOnConfiguration(tmp_path) as blocked:
+        end = blocked.wait_for_read()
+        blocked.process.send_signal(signal.SIGHUP)
+        blocked.process.send_signal(signal.SIGUSR1)
+        blocked.write_configuration(end)
+        blocked.write_configuration(blocked.wait_for_read())
+        blocked.process.send_signal(signal.SIGTERM)
+        _, errors = blocked.process.communicate(timeout=60)
+        assert blocked.process.returncode == 0
         assert json.loads(errors.splitlines()[-1].partition(" ")[2])["reloads"] == 1
 
 
-def test_a_program_asked_to_end_during_its_start_ends_in_order(tmp_path: Path) -> None:
-    with HeldAtItsConfiguration(tmp_path) as held:
-        end = held.reading()
-        held.process.send_signal(signal.SIGTERM)
-        held.process.send_signal(signal.SIGTERM)
-        held.give(end)
-        _, errors = held.process.communicate(timeout=60)
-        assert held.process.returncode == 0 and "counters" in errors
+def test_a_program_asked_to_end_during_its_start_exits_cleanly(tmp_path: Path) -> None:
+    with BlockedOnConfiguration(tmp_path) as blocked:
+        end = blocked.wait_for_read()
+        blocked.process.send_signal(signal.SIGTERM)
+        blocked.process.send_signal(signal.SIGTERM)
+        blocked.write_configuration(end)
+        _, errors = blocked.process.communicate(timeout=60)
+        assert blocked.process.returncode == 0 and "counters" in errors
 
 
 def test_streams_that_nobody_resumes_are_not_begun_shortly_before_the_kill(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Those under way run on to their end; a new one would be cut by it, and with it lost."""
-    assert serve.LATE_ARRIVAL_SECONDS < 0.7  # what comes later has to be answered before the kill
+    """Streams in progress run to their end. A new one would be cut by the kill and lost."""
+    assert serve.LATE_ARRIVAL_SECONDS < 0.7  # later queries have to be answered before the kill
     monkeypatch.setattr(serve, "LATE_ARRIVAL_SECONDS", 0.0)
 
     async def scene() -> None:
-        async with routed(tmp_path, "wait") as (server, program, port):
+        async with router_and_server(tmp_path, "wait") as (server, program, port):
             first, second = (Client("platform", port, name) for name in "ab")
             await first.send()
-            await streaming(program)
+            await until_streaming(program)
             program.leave()
             await until(lambda: not program.core.accepting)
             kind, head, _ = await second.ask()
-            assert kind == "refused" and not head.keeps and len(server.seen) == 1
+            assert kind == "refused" and not head.keep_alive and len(server.seen) == 1
             server.go_on.set()
             assert (await first.answer())[0] == "served"
 
@@ -202,11 +204,11 @@
 def test_a_second_answer_that_comes_late_is_no_answer_to_the_next_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The server writes it only once the next request is on its way, on whichever connection that came."""
-    monkeypatch.setattr(server_link, "REST_BEFORE_REUSE", 60.0)
+    """The server writes the second answer once the next request has arrived, on whichever connection."""
+    monkeypatch.setattr(server_link, "REUSE_DELAY_SECONDS", 60.0)
 
     async def scene() -> None:
-        async with routed(tmp_path, "serve", "late second") as (server, program, port):
+        async with router_and_server(tmp_path, "serve", "late second") as (server, program, port):
             client = Client("platform", port)
             for _ in range(2):
                 kind, _, body = await client.ask()
@@ -216,11 +218,11 @@
     asyncio.run(scene())
 
 
-def test_a_connection_that_has_rested_is_used_again(tmp_path: Path) -> None:
-    """The latest used one of those: what the others have is left to close."""
+def test_a_connection_is_reused_after_its_reuse_delay(tmp_path: Path) -> None:
+    """The most recently used one of those, so that the others reach their idle timeout."""
 
     async def scene() -> None:
-        async with routed(tmp_path) as (server, program, port):
+        async with router_and_server(tmp_path) as (server, program, port):
             clients = [Client("platform", port, name) for name in "abc"]
             await asyncio.gather(*(client.ask() for client in clients))
             (links,) = program.servers.idle.values()
@@ -235,65 +237,66 @@
 
 
 def test_a_server_that_drains_while_its_connection_comes_up_is_sent_nothing(tmp_path: Path) -> None:
-    """Where connections take longer than the grace for drains, that would break the rule."""
+    """Where connects take longer than the grace period for drains, a request would arrive after it."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
             servers = [await stack.enter_async_context(ModelServer("platform").listening()) for _ in range(2)]
             program, ports = await stack.enter_async_context(running(tmp_path, servers))
-            begin, drained = program.servers.start, list[ModelServer]()
+            start, drained = program.servers.start, list[ModelServer]()
 
-            def drain_behind(execution: Execution) -> Carrier | None:
-                carrier = begin(execution)
-                if not drained:  # told in the turn after the pick, before the connection can be up
+            def start_and_drain(execution: Execution) -> Carrier | None:
+                carrier = start(execution)
+                if not drained:  # one iteration after the choice, before the connection can be established
                     name = next(name for name in ("s0", "s1") if number_of(name) == execution.replica)
                     drained.append(servers[int(name[1])])
                     host = Host(name, f"{LOCAL}:{drained[0].port}", "a", "m1", status="draining")
                     program.loop.call_soon(program.cluster.take, HostList([host], 5, False), ListKind.DELTA)
                 return carrier
 
-            program.core.servers.start = drain_behind  # type: ignore[method-assign]
+            program.core.servers.start = start_and_drain  # type: ignore[method-assign]
             assert (await Client("platform", ports["platform"]).ask())[0] == "served"
             assert not drained[0].seen and program.counters.outcomes == {"moot": 1, "ok": 1}
             program.cluster.take(HostList([Host("s0", f"{LOCAL}:1", status="draining")], 3, False), ListKind.DELTA)
-            assert program.counters.list_entries_skipped == 1  # older than what is held
+            assert program.counters.list_entries_skipped == 1  # older than the entry that the router has
 
     asyncio.run(scene())
 
 
-def test_a_connection_that_came_up_while_the_loop_was_held_up_has_not_failed(tmp_path: Path) -> None:
-    """Its deadline and its coming up are found in the same turn, and coming up takes some more."""
+def test_a_connection_established_while_the_loop_was_blocked_has_not_failed(tmp_path: Path) -> None:
+    """Its connect timeout fires in the iteration that notices the connection, but asyncio reports it some iterations
+    later."""
 
     async def scene() -> None:
-        async with routed(tmp_path) as (_, program, port):
-            begin = program.servers.start
+        async with router_and_server(tmp_path) as (_, program, port):
+            start = program.servers.start
 
-            def held_up(execution: Execution) -> Carrier | None:
-                carrier = begin(execution)
+            def start_and_block(execution: Execution) -> Carrier | None:
+                carrier = start(execution)
                 program.loop.call_soon(time.sleep, 2 * program.servers.connect_limit)
                 return carrier
 
-            program.core.servers.start = held_up  # type: ignore[method-assign]
+            program.core.servers.start = start_and_block  # type: ignore[method-assign]
             assert (await Client("platform", port).ask())[0] == "served"
             assert program.counters.outcomes == {"ok": 1}
 
     asyncio.run(scene())
 
 
-def test_a_connection_that_comes_up_at_the_end_of_its_time_is_not_written_to() -> None:
-    """The loop hands out what came on sockets before what is due in the same turn."""
+def test_a_connection_established_at_the_deadline_is_not_written_to() -> None:
+    """In one iteration, the event loop runs socket callbacks before timers that are due."""
     scene = Scene()
     query = scene.ask()
     (attempt,) = scene.out
     scene.clock.now = attempt.expires_at
     assert not scene.core.still_needed(attempt, True)
     assert attempt.ended and scene.counters.outcomes == {"moot": 1}
-    assert query.in_flight == len(scene.out) - 1  # nothing is out, or another one
+    assert query.in_flight == len(scene.out) - 1  # no attempt is in flight, or a new one
 
 
 @pytest.mark.parametrize("after", [0.0, 0.5, 0.6, 0.7, 0.999, 1.0, 1.1])
 def test_a_repeat_arrives_within_its_window(after: float) -> None:
-    """Its connection may take the whole time that connects are given."""
+    """Its connect may take the whole connect timeout."""
     window = 1 * S
     rules = settings({"effect": "token", "window": window, "give_up": 9 * S}, connect_timeout=250 * MS)
     gateway = Gateway(rules, 4)
@@ -303,28 +306,28 @@
     assert len(repeats) == (after < 0.65)
 
 
-def test_a_kept_connection_that_its_server_closes_as_it_is_taken_is_not_written_to(
+def test_an_idle_connection_that_its_server_closes_as_it_is_taken_is_not_written_to(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end waits in the socket while the loop has not read it: the request would end as a reset."""
-    monkeypatch.setattr(server_link, "REST_BEFORE_REUSE", -1.0)
+    """The close is in the socket, but the event loop has not read it: the request would get a reset."""
+    monkeypatch.setattr(server_link, "REUSE_DELAY_SECONDS", -1.0)
 
     async def scene() -> None:
-        async with routed(tmp_path) as (server, program, port):
+        async with router_and_server(tmp_path) as (server, program, port):
             client = Client("platform", port)
             assert (await client.ask())[0] == "served"
             ((link,),) = program.servers.idle.values()
             (writer,) = server.open
             writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
-            assert program.servers._take_idle(link.address) is None and link.closed  # in the same turn of the loop
+            assert program.servers._take_idle(link.address) is None and link.closed  # in the same loop iteration
             assert (await client.ask())[0] == "served" and program.counters.outcomes == {"ok": 2}
 
     asyncio.run(scene())
 
 
-def test_half_an_event_at_a_connections_end_is_not_passed_on(tmp_path: Path) -> None:
+def test_a_partial_event_at_the_end_of_a_connection_is_not_passed_on(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with routed(tmp_path, "half an event") as (server, program, port):
+        async with router_and_server(tmp_path, "half an event") as (server, program, port):
             kind, _, body = await Client("platform", port).ask()
             assert (kind, body) == ("cut", b"data: x\n\n") and program.counters.broken == 1
 
@@ -334,14 +337,14 @@
 # -- downstream connections --------------------------------------------------------------------------------
 
 
-def test_a_request_behind_another_keeps_the_time_at_which_it_was_sent(tmp_path: Path) -> None:
-    """Counted from the end of the answer before, its deadline would come too late by that whole answer."""
+def test_the_deadline_of_a_pipelined_request_counts_from_its_arrival(tmp_path: Path) -> None:
+    """Counted from the end of the previous answer, its deadline would be late by the duration of that answer."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "wait", "silent") as (server, program, port):
+        async with router_and_server(tmp_path, "wait", "silent") as (server, program, port):
             wire = await Client("platform", port).connect()
             wire.writer.write(request(1) + request(2))
-            await streaming(program)
+            await until_streaming(program)
             sent_by = program.loop.time()
             server.go_on.set()
             await until(lambda: len(server.seen) == 2)
@@ -353,37 +356,35 @@
 
 
 @pytest.mark.parametrize(("begun", "hurried"), [(False, False), (True, False), (True, True)])
-def test_a_request_behind_another_is_answered_though_the_program_ends(
-    begun: bool, hurried: bool, tmp_path: Path
-) -> None:
-    """Its bytes had come before the client could know: the connection may not end without its answer."""
+def test_a_pipelined_request_is_answered_during_a_shutdown(begun: bool, hurried: bool, tmp_path: Path) -> None:
+    """It arrived before the client could know of the shutdown: the connection must not close without its answer."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "wait" if begun else "hold") as (server, program, port):
+        async with router_and_server(tmp_path, "wait" if begun else "hold") as (server, program, port):
             client = Client("platform", port)
             wire = await client.connect()
             wire.writer.write(request(1) + request(2))
-            await (streaming(program) if begun else until(lambda: len(server.seen) == 1))
+            await (until_streaming(program) if begun else until(lambda: len(server.seen) == 1))
             program.clients.leave()
             if hurried:
-                program.core.hurry(True, program.loop.time() + 10.0)  # the stream under way runs on
+                program.core.hurry(True, program.loop.time() + 10.0)  # the stream in progress continues
                 program.clients.hurry()
             server.go_on.set()
             assert (await client.answer())[0] == "served"
             kind, head, _ = await client.answer()
-            assert kind == ("refused" if hurried else "served") and not head.keeps
+            assert kind == ("refused" if hurried else "served") and not head.keep_alive
 
     asyncio.run(scene())
 
 
-def test_a_client_that_goes_takes_its_requests_along_though_its_reading_is_paused(tmp_path: Path) -> None:
-    """One is held up on its way to the client, the other waits behind it."""
+def test_a_disconnect_is_noticed_while_writing_to_the_client_is_paused(tmp_path: Path) -> None:
+    """One request has a paused answer, the other is pipelined behind it."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "flood") as (server, program, port):
+        async with router_and_server(tmp_path, "flood") as (server, program, port):
             end = socket.create_connection((LOCAL, port))
             end.sendall(request(1) + request(2))
-            await until(lambda: any(link.full for link in program.clients.links))
+            await until(lambda: any(link.write_paused for link in program.clients.links))
             end.close()
             await until(lambda: not len(program.clients.links) and not server.open)
             assert len(server.seen) == 1 and program.counters.clients_gone == 1
@@ -392,16 +393,16 @@
     asyncio.run(scene())
 
 
-def test_a_client_that_floods_and_reads_nothing_is_ended_with_its_request(tmp_path: Path) -> None:
-    """Closed in the usual way, its connection would wait for it to read, and hold its model server meanwhile."""
+def test_a_client_that_pipelines_too_much_and_reads_nothing_is_aborted(tmp_path: Path) -> None:
+    """A regular close would wait until the client has read its answer, and occupy the model server meanwhile."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "flood") as (server, program, port):
+        async with router_and_server(tmp_path, "flood") as (server, program, port):
             end = socket.create_connection((LOCAL, port))
             end.sendall(request(1))
-            await until(lambda: any(link.full for link in program.clients.links))
+            await until(lambda: any(link.write_paused for link in program.clients.links))
             end.setblocking(False)
-            end.send(b"x" * 2 * MOST_AHEAD)
+            end.send(b"x" * 2 * MAX_PIPELINED_BYTES)
             await until(lambda: not len(program.core.queries) and not len(program.clients.links))
             await until(lambda: not server.open)
             end.close()
@@ -410,7 +411,7 @@
 
 
 class SlowTransport(Transport):
-    """A client that has yet to read so many bytes."""
+    """The transport of a client that has not read this many bytes yet."""
 
     unread = 100
 
@@ -425,22 +426,22 @@
     return link, transport
 
 
-def test_a_closed_connection_waits_for_a_client_as_long_as_that_reads() -> None:
+def test_a_closed_connection_stays_open_as_long_as_its_client_reads() -> None:
     scene = Scene()
     link, transport = slow_client(scene)
     link._linger()
     for unread in (60, 30, 1):
         transport.unread = unread
-        scene.clock.move(LINGER)
+        scene.clock.move(LINGER_SECONDS)
         assert transport.half and not transport.closing
-    scene.clock.move(LINGER)  # it has read nothing since
+    scene.clock.move(LINGER_SECONDS)  # it has read nothing in the meantime
     assert transport.closing
 
 
 def test_an_answer_that_is_read_slowly_is_not_reset_between_two_requests() -> None:
     scene = Scene()
     link, transport = slow_client(scene)
-    link._next()
+    link._next_request()
     link.owner.leave()
     link.owner.hurry()
     assert link.closing and transport.half and not transport.closing
@@ -452,7 +453,7 @@
             link = ClientLink(program.clients, program.fronts[LOCAL, ports["platform"]])
             transport = SlowTransport()
             link.connection_made(transport)
-            program.shutdown_started_at = program.clients.latest = program.loop.time() - 60.0
+            program.shutdown_started_at = program.clients.last_accept_at = program.loop.time() - 60.0
             program._check_finished()
             assert not program.ended.is_set()
             transport.unread = 0
@@ -463,7 +464,7 @@
     asyncio.run(scene())
 
 
-def test_a_request_that_waits_for_a_server_is_forgotten_with_its_client(tmp_path: Path) -> None:
+def test_a_request_that_waits_for_a_server_is_dropped_when_its_client_disconnects(tmp_path: Path) -> None:
     async def scene() -> None:
         async with AsyncExitStack() as stack:
             server = await stack.enter_async_context(ModelServer("platform").listening())
@@ -480,7 +481,7 @@
     asyncio.run(scene())
 
 
-# -- signals, and what is read again -----------------------------------------------------------------------
+# -- signals and reloads --------------------------------------------------------------------------------------
 
 
 HALF = ["", '{"listen": "127.0', "[]", '{"settings": 3}', '{"limits": {"sockets": "x"}}', '{"name": "\\ud800"}']
@@ -489,28 +490,28 @@
 @pytest.mark.parametrize("half", HALF)
 def test_a_configuration_that_is_half_written_changes_nothing(half: str, tmp_path: Path) -> None:
     async def scene() -> None:
-        async with routed(tmp_path, "wait") as (server, program, port):
+        async with router_and_server(tmp_path, "wait") as (server, program, port):
             client = Client("platform", port)
             await client.send()
-            await streaming(program)
-            held = program.config
+            await until_streaming(program)
+            before = program.config
             (tmp_path / "config.json").write_text(half)
             program.reload()
             (tmp_path / "config.json").unlink()
             program.reload()
-            assert program.config is held and program.counters.reload_failures == 2
+            assert program.config is before and program.counters.reload_failures == 2
             server.go_on.set()
             assert (await client.answer())[0] == "served" and (await client.ask())[0] == "served"
 
     asyncio.run(scene())
 
 
-def test_a_program_asked_twice_to_end_answers_what_it_took_and_ends_once(tmp_path: Path) -> None:
+def test_a_program_asked_twice_to_end_answers_its_open_queries_and_ends_once(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with routed(tmp_path, "wait") as (server, program, port):
+        async with router_and_server(tmp_path, "wait") as (server, program, port):
             client = Client("platform", port)
             await client.send()
-            await streaming(program)
+            await until_streaming(program)
             program.leave()
             first = program.shutdown_started_at
             program.reload()
@@ -528,7 +529,7 @@
 def test_a_watch_that_ends_or_is_silent_right_after_a_reload_is_opened_anew(
     silent: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The whole list is asked for again, as versions of the new discovery may be counted anew."""
+    """The router requests the whole list again, because the versions of the new discovery may start anew."""
     monkeypatch.setattr("pearstall.net.cluster.WATCH_SILENCE_SECONDS", 0.1)
 
     async def scene() -> None:
@@ -555,14 +556,14 @@
     asyncio.run(scene())
 
 
-# -- what a request brings along ---------------------------------------------------------------------------
+# -- headers of requests -----------------------------------------------------------------------------------
 
 
-def test_headers_of_the_request_go_on_and_those_of_its_connection_do_not(tmp_path: Path) -> None:
-    """A class that may be repeated within a window has a key by which model servers know a repeat."""
+def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not(tmp_path: Path) -> None:
+    """A class that may be repeated within a window has a key by which model servers recognise a repeat."""
 
     async def scene() -> None:
-        async with routed(tmp_path, "error") as (server, program, port):
+        async with router_and_server(tmp_path, "error") as (server, program, port):
             client = Client("platform", port)
             wire = await client.connect()
             extra = b"Idempotency-Key: k-1\r\nTraceparent: 00-1\r\nAccept-Encoding: gzip\r\n"
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -1,4 +1,4 @@
-"""One suite for both fronts and both forms of model server: the same final answers are counted in each."""
+"""Tests that run with both fronts and both forms of model server, and must count the same final answers in each."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from pearstall.net.client_link import ClientLink
 from pearstall.net.server_link import ServerLink
 from tests.net_support import (
+    ANSWERS_WITH_EXTRAS,
     FLOOD,
     LOCAL,
-    MORE,
+    MALFORMED_ANSWERS,
     PATH,
-    SPOILT,
     Client,
     ModelServer,
     free_port,
@@ -37,40 +37,40 @@
 
 
 @pytest.fixture
-def reused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Links to servers need not rest between two requests, so that each reuse shows."""
-    monkeypatch.setattr(server_link, "REST_BEFORE_REUSE", -1.0)
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Lets connections to servers be reused immediately, so that every reuse is visible."""
+    monkeypatch.setattr(server_link, "REUSE_DELAY_SECONDS", -1.0)
 
 
 def run(scene: Coroutine[Any, Any, None]) -> None:
     asyncio.run(scene)
 
 
-async def stand(stack: AsyncExitStack, form: str, *scripts: list[str]) -> list[ModelServer]:
+async def start_servers(stack: AsyncExitStack, form: str, *scripts: list[str]) -> list[ModelServer]:
     return [await stack.enter_async_context(ModelServer(form, *script).listening()) for script in scripts]
 
 
 @both_fronts
 @both_forms
 def test_the_same_final_answers_are_counted(front: str, form: str, tmp_path: Path) -> None:
-    """Served; error and reset, then served; turned away three times; broken halfway and asked for again;
-    silent until the deadline."""
+    """Served; an error and a reset, then served; turned away three times; cut halfway and requested again; no answer
+    until the deadline."""
     script = ["serve", "error", "reset", "serve", "away", "away", "away", "half", "serve", "silent"]
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, form, script)
+            (server,) = await start_servers(stack, form, script)
             program, ports = await stack.enter_async_context(running(tmp_path, [server], form))
             client = Client(front, ports[front])
             got: Counter[str] = Counter()
             for wait in (6.0, 6.0, 6.0, 6.0, 6.0, 0.5):
                 kind, head, body = await client.ask(wait)
                 got[kind] += 1
-                whole = stream(form)
+                events = stream(form)
                 if kind == "served":
-                    assert body == b"".join(whole)  # not a byte changed
+                    assert body == b"".join(events)  # byte for byte
                 elif kind == "cut":
-                    assert body == b"".join(whole[:2])
+                    assert body == b"".join(events[:2])
                 elif kind == "refused":
                     assert float(head.headers["retry-after"]) == 2
                     if front == "openai":
@@ -80,7 +80,7 @@
             assert (counters.served, counters.refused, counters.failed, counters.broken) == (3, 2, 0, 1)
             assert counters.outcomes["reset"] == 2 and counters.outcomes["error"] == 1
             assert counters.outcomes["timeout"] >= 1 and counters.overdue == 0
-            assert server.most_out == 1  # never two executions of a query at once
+            assert server.max_in_flight == 1  # never two executions of a query at once
             ids = [head.headers["x-txn" if form == "platform" else "x-request-id"] for head, _ in server.seen]
             assert ids[:4] == ["t1", "t2", "t2", "t2"] and not len(program.core.queries)
 
@@ -89,12 +89,12 @@
 
 @both_fronts
 @both_forms
-def test_a_client_that_goes_takes_its_execution_along(front: str, form: str, tmp_path: Path) -> None:
+def test_an_execution_is_cancelled_when_its_client_disconnects(front: str, form: str, tmp_path: Path) -> None:
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, form, ["silent", "wait"])
+            (server,) = await start_servers(stack, form, ["silent", "wait"])
             program, ports = await stack.enter_async_context(running(tmp_path, [server], form))
-            for count in (1, 2):  # before its first event, and in the middle of its answer
+            for count in (1, 2):  # before the first event, and in the middle of the answer
                 client = Client(front, ports[front])
                 await client.send()
                 if count == 2:
@@ -105,7 +105,7 @@
                 await until(lambda count=count: program.counters.clients_gone == count)  # type: ignore[misc]
                 if count == 2:
                     server.go_on.set()
-                await until(lambda: server.out == 0 and not len(program.core.queries))
+                await until(lambda: server.in_flight == 0 and not len(program.core.queries))
             assert program.counters.outcomes == {"cancelled": 2}
 
     run(scene())
@@ -113,11 +113,11 @@
 
 @both_fronts
 @both_forms
-def test_a_program_asked_to_end_answers_what_it_took(front: str, form: str, tmp_path: Path) -> None:
+def test_a_router_that_shuts_down_answers_its_open_queries(front: str, form: str, tmp_path: Path) -> None:
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, form, ["serve", "wait"])
-            resumed = setup(familyInfo={"resume": True})  # else nothing is begun that the kill may cut
+            (server,) = await start_servers(stack, form, ["serve", "wait"])
+            resumed = setup(familyInfo={"resume": True})  # otherwise no stream is started that may be cut by the kill
             router = running(tmp_path, [server], form, settings=resumed)
             program, ports = await stack.enter_async_context(router)
             idle, busy, late = (Client(front, ports[front], name) for name in "ibl")
@@ -126,13 +126,13 @@
             await until(lambda: len(server.seen) == 2)
             program.close_clients_after = 1.0
             program.leave()
-            # Links are kept for now: the only other router may be down, and clients had nowhere to go.
+            # Connections stay open at first: the only other router may be down, and clients would have nowhere to go.
             kind, head, _ = await idle.ask()
-            assert kind == "served" and head.keeps
+            assert kind == "served" and head.keep_alive
             wire = await idle.connect()
-            assert not await wire.more()  # invited off
-            kind, head, _ = await late.ask()  # still accepted, and told to go
-            assert kind == "served" and not head.keeps and not program.ended.is_set()
+            assert not await wire.more()  # closed between two requests
+            kind, head, _ = await late.ask()  # still accepted, but asked to reconnect
+            assert kind == "served" and not head.keep_alive and not program.ended.is_set()
             server.go_on.set()
             assert (await busy.answer())[0] == "served"
             await until(program.ended.is_set)
@@ -140,10 +140,10 @@
     run(scene())
 
 
-def test_a_client_that_reads_slowly_holds_its_server_back_and_memory_stays_bounded(tmp_path: Path) -> None:
+def test_a_slow_reader_pauses_its_server_and_memory_stays_bounded(tmp_path: Path) -> None:
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", ["flood"])
+            (server,) = await start_servers(stack, "platform", ["flood"])
             program, ports = await stack.enter_async_context(running(tmp_path, [server]))
             client = Client("platform", ports["platform"])
             wire = await client.connect()
@@ -160,12 +160,12 @@
 
 
 @both_forms
-def test_an_answer_that_is_wanted_whole(form: str, tmp_path: Path) -> None:
-    """Nothing of it was passed on when a stream breaks, so it may be asked for again elsewhere."""
+def test_an_answer_without_streaming(form: str, tmp_path: Path) -> None:
+    """If its stream breaks, nothing was passed on to the client yet, so the query is retried."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, form, ["half"])
+            (server,) = await start_servers(stack, form, ["half"])
             _, ports = await stack.enter_async_context(running(tmp_path, [server], form))
             kind, head, body = await Client("openai", ports["openai"]).ask(stream=False)
             answer = json.loads(body)
@@ -181,33 +181,34 @@
 
 
 @both_fronts
-def test_what_a_server_finds_wrong_with_a_query_is_told_and_ejects_nobody(
-    front: str, tmp_path: Path, reused_at_once: None
+def test_a_servers_client_error_is_passed_on_and_ejects_no_server(
+    front: str, tmp_path: Path, no_reuse_delay: None
 ) -> None:
-    """Else each bad query would be tried three times, and three of them would eject a good server."""
+    """Guards against retries of bad queries: each would be tried three times, and three of them would eject a healthy
+    server."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "openai", ["blame"] * 4)
+            (server,) = await start_servers(stack, "openai", ["blame"] * 4)
             program, ports = await stack.enter_async_context(running(tmp_path, [server], "openai"))
             client = Client(front, ports[front])
             for _ in range(4):
                 kind, head, body = await client.ask()
                 assert (kind, head.status, body) == ("failed", 400, b'{"error":"no mud"}')
             assert (await client.ask())[0] == "served" and len(server.seen) == 5
-            assert program.counters.blamed == 4 and program.core.router.ejected == 0 and server.links == 1
+            assert program.counters.blamed == 4 and program.core.router.ejected == 0 and server.connections == 1
 
     run(scene())
 
 
-def test_old_and_hasty_clients_are_served_in_their_turn(tmp_path: Path, reused_at_once: None) -> None:
-    """Two queries in one write; one that waits for 100; and HTTP/1.0, which knows no chunks."""
+def test_pipelining_expect_continue_and_http_1_0(tmp_path: Path, no_reuse_delay: None) -> None:
+    """Two queries in one write; one that waits for status 100; and HTTP/1.0, which has no chunks."""
     ask = "POST /v1/chat/completions HTTP/1.{}\r\nX-Txn: {}\r\nX-Lane: chat\r\nX-Remaining: 6\r\n{}\r\n"
     length = "Content-Length: 2\r\n"
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", [])
+            (server,) = await start_servers(stack, "platform", [])
             program, ports = await stack.enter_async_context(running(tmp_path, [server]))
             client = Client("platform", ports["platform"])
             wire = await client.connect()
@@ -221,27 +222,27 @@
             assert (await client.answer())[0] == "served" and server.seen[2][1] == b"{}"
             wire.writer.write((ask.format(0, "d", length) + "{}").encode())
             head = await wire.head(True)
-            assert head is not None and "transfer-encoding" not in head.headers and not head.keeps
+            assert head is not None and "transfer-encoding" not in head.headers and not head.keep_alive
             assert (await wire.body(head))[0] == b"".join(stream("platform"))
             assert [head.headers["x-txn"] for head, _ in server.seen] == ["a", "b", "c", "d"]
-            assert program.counters.client_links == 1 and server.links == 1
+            assert program.counters.client_links == 1 and server.connections == 1
 
     run(scene())
 
 
-def test_links_are_reused_closed_when_idle_and_bounded_in_number(tmp_path: Path) -> None:
-    """A server closes a link idle for connIdle; a query written to it then would end as a reset."""
+def test_connections_are_reused_closed_when_idle_and_limited_in_number(tmp_path: Path) -> None:
+    """A server closes connections that are idle for connIdle; a query sent at that moment would get a reset."""
     changes = setup()
     changes["limits"]["connIdle"] = 200_000
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", [])
+            (server,) = await start_servers(stack, "platform", [])
             router = running(tmp_path, [server], settings=changes)
             program, ports = await stack.enter_async_context(router)
-            program.clients.most = 2
+            program.clients.max_links = 2
             clients = [Client("platform", ports["platform"]) for _ in range(3)]
-            for client in clients:  # the third takes the place of one that is idle
+            for client in clients:  # the third one evicts an idle one
                 assert (await client.ask())[0] == "served"
             assert len(program.clients.links) == 2
             assert program.counters.server_links + program.counters.server_links_reused == 3
@@ -253,7 +254,7 @@
     run(scene())
 
 
-def test_a_refused_connect_is_told_as_one_that_never_ran(tmp_path: Path) -> None:
+def test_a_refused_connect_counts_as_a_query_that_never_ran(tmp_path: Path) -> None:
     async def scene() -> None:
         async with AsyncExitStack() as stack:
             gone = ModelServer("platform")
@@ -266,7 +267,7 @@
 
 
 @both_fronts
-def test_malformed_input_harms_no_other_link(front: str, tmp_path: Path) -> None:
+def test_malformed_input_does_not_affect_other_connections(front: str, tmp_path: Path) -> None:
     good = f"POST /v1/chat/completions HTTP/1.1\r\nX-Lane: chat\r\nX-{'Txn'}: 1\r\n"
     cases = {
         "\x01\x02 what\r\n\r\n": 400,
@@ -274,8 +275,8 @@
         "GET /v1/chat/completions HTTP/1.1\r\n\r\n": 405,
         good + "X-Remaining: soon\r\nContent-Length: 2\r\n\r\n{}": 400,
         good + "X-Remaining: -1\r\nContent-Length: 2\r\n\r\n{}": 400,
-        good + "X-Remaining: 1\r\nX-Txn: 2\r\nContent-Length: 2\r\n\r\n{}": 400,  # an id that nobody sent
-        good + "X-Remaining: 1\r\n\r\n": 400,  # servers turn away a query without a body
+        good + "X-Remaining: 1\r\nX-Txn: 2\r\nContent-Length: 2\r\n\r\n{}": 400,  # a repeated id is not joined
+        good + "X-Remaining: 1\r\n\r\n": 400,  # servers reject a query without a body
         good + "X-Remaining: 1\r\nContent-Length: 4\r\n\r\n[{}]": 400,
         good + "X-Remaining: 1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}": 400,
         good + "X-Remaining: 1\r\nContent-Length: -2\r\n\r\n": 400,
@@ -291,7 +292,7 @@
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", ["wait"])
+            (server,) = await start_servers(stack, "platform", ["wait"])
             _, ports = await stack.enter_async_context(running(tmp_path, [server]))
             other = Client(front, ports[front])
             await other.send()
@@ -303,34 +304,34 @@
                 if front == "openai" and status != 200:
                     assert json.loads((await wire.body(head))[0])["error"]["message"]
                 wire.writer.close()
-            # The id of another's open query: to the servers it would be a second copy of that one.
+            # The id of another client's open query: to the servers it would be a second copy of that query.
             same = Client(front, ports[front])
             assert (await same.ask())[1].status == 409
             server.go_on.set()
             assert (await other.answer())[0] == "served"
             assert [head.headers.get("x-txn") for head, _ in server.seen] == ["t1"]
-            assert (await Client(front, ports[front]).ask())[0] == "served"  # that one is over
+            assert (await Client(front, ports[front]).ask())[0] == "served"  # the query with this id has ended
 
     run(scene())
 
 
 @both_fronts
-def test_who_asks_nothing_whole_is_let_go_and_keeps_nobody_out(
+def test_connections_without_a_complete_request_are_evicted(
     front: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Silent links and half queries, more than there is room for in links and in memory."""
+    """More silent connections and incomplete queries than the limits on connections and memory allow."""
     module = "pearstall.net.client_link."
-    monkeypatch.setattr(module + "GRACE", 0.0)
+    monkeypatch.setattr(module + "EVICTION_GRACE_SECONDS", 0.0)
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", ["wait"])
+            (server,) = await start_servers(stack, "platform", ["wait"])
             program, ports = await stack.enter_async_context(running(tmp_path, [server]))
             clients = program.clients
             busy = Client(front, ports[front], "b")
             await busy.send()
             await until(lambda: len(server.seen) == 1)
-            clients.most, clients.most_held = 6, 100_000
+            clients.max_links, clients.max_body_bytes = 6, 100_000
             others = []
             for number in range(40):
                 others.append(await Client(front, ports[front]).connect())
@@ -338,32 +339,32 @@
                     half = b"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60001\r\n\r\n"
                     others[-1].writer.write(half + b"x" * 60_000)
                 await until(lambda n=number + 2: program.counters.client_links == n)  # type: ignore[misc]
-            await until(lambda: len(clients.links) <= 6 and clients.held <= 100_000)
+            await until(lambda: len(clients.links) <= 6 and clients.body_bytes <= 100_000)
             assert (await Client(front, ports[front], "c").ask())[0] == "served"
-            # Those left have had their time; a query that is open, or a link between two, is not theirs.
-            monkeypatch.setattr(module + "READ_LIMIT", 0.05)
+            # The read timeout ends the remaining ones, but neither open queries nor idle connections.
+            monkeypatch.setattr(module + "READ_TIMEOUT_SECONDS", 0.05)
             late = await Client(front, ports[front]).connect()
             late.writer.write(b"POST /v1/chat/completions HTTP/1.1\r\n")
             head = await late.head(True)
-            assert head is not None and head.status == 408 and not head.keeps
+            assert head is not None and head.status == 408 and not head.keep_alive
             silent = await Client(front, ports[front]).connect()
             assert not await silent.more()
             server.go_on.set()
             assert (await busy.answer())[0] == "served"
             for wire in others:
                 wire.writer.close()
-            await until(lambda: clients.held == 0 and not clients.owing and len(clients.links) <= 2)
+            await until(lambda: clients.body_bytes == 0 and not clients.awaiting_request and len(clients.links) <= 2)
 
     run(scene())
 
 
-def test_each_link_accepted_past_the_limit_puts_out_another_one(tmp_path: Path) -> None:
-    """All that come in one turn of the loop: one and the same was closed for them, and descriptors ran out."""
+def test_each_connection_accepted_past_the_limit_evicts_a_different_one(tmp_path: Path) -> None:
+    """Connections accepted in one iteration of the event loop all evicted the same one, until descriptors ran out."""
 
     async def scene() -> None:
         async with running(tmp_path, []) as (program, ports):
             clients = program.clients
-            clients.most = 20
+            clients.max_links = 20
             wires = [await Client("platform", ports["platform"]).connect() for _ in range(20)]
             await until(lambda: len(clients.links) == 20)
             links = [ClientLink(clients, program.fronts[LOCAL, ports["platform"]]) for _ in range(16)]
@@ -379,14 +380,14 @@
     run(scene())
 
 
-def test_a_query_whose_client_has_left_before_it_was_read_is_not_sent_on(tmp_path: Path) -> None:
-    """A connection that waited to be accepted may bring its query and its end in one."""
+def test_a_query_is_not_forwarded_if_its_client_left_before_it_was_read(tmp_path: Path) -> None:
+    """A connection that waited in the accept queue may deliver its query and its close together."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", ["serve"])
+            (server,) = await start_servers(stack, "platform", ["serve"])
             program, ports = await stack.enter_async_context(running(tmp_path, [server]))
-            end = socket.create_connection((LOCAL, ports["platform"]))  # accepted at the next turn of the loop
+            end = socket.create_connection((LOCAL, ports["platform"]))  # accepted in the next loop iteration
             body = b"{}"
             end.sendall(
                 f"POST {PATH} HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: chat\r\nX-Remaining: 3\r\n"
@@ -402,42 +403,43 @@
 
 @both_fronts
 @both_forms
-@pytest.mark.parametrize("what", [*SPOILT, *MORE])
-def test_what_a_server_spoils_goes_elsewhere_or_ends_and_its_link_is_used_no_more(
-    what: str, front: str, form: str, tmp_path: Path, reused_at_once: None
+@pytest.mark.parametrize("what", [*MALFORMED_ANSWERS, *ANSWERS_WITH_EXTRAS])
+def test_a_malformed_answer_is_retried_or_cut_and_its_connection_is_not_reused(
+    what: str, front: str, form: str, tmp_path: Path, no_reuse_delay: None
 ) -> None:
-    """Before the first event it is a failed attempt that may have run; the link stays open, so the deadline
-    would pass while waiting. Later the client's link ends without the last chunk. Good answers are served."""
+    """Before the first event, a malformed answer is a failed attempt that may have run. The server leaves the
+    connection open, so waiting for its end would use up the deadline. After the first event, the connection of the
+    client closes without the terminating chunk. Valid answers with additional data are served."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            script = [what, "serve"] if what in MORE else [what, "serve", f"then {what}"]
-            (server,) = await stand(stack, form, script)
+            script = [what, "serve"] if what in ANSWERS_WITH_EXTRAS else [what, "serve", f"then {what}"]
+            (server,) = await start_servers(stack, form, script)
             program, ports = await stack.enter_async_context(running(tmp_path, [server], form))
             client = Client(front, ports[front])
             counters = program.counters
-            for _ in range(2 if what in MORE else 1):
+            for _ in range(2 if what in ANSWERS_WITH_EXTRAS else 1):
                 kind, _, body = await client.ask(60.0)
                 assert (kind, body) == ("served", b"".join(stream(form)))
-            if what in MORE:
-                assert counters.outcomes == {"ok": 2} and server.links == (2 if what == "second" else 1)
+            if what in ANSWERS_WITH_EXTRAS:
+                assert counters.outcomes == {"ok": 2} and server.connections == (2 if what == "second" else 1)
                 return
-            assert counters.outcomes == {"reset": 1, "ok": 1} and server.links == 2
-            if what != "empty":  # behind an event that is a stream's whole end
+            assert counters.outcomes == {"reset": 1, "ok": 1} and server.connections == 2
+            if what != "empty":  # after an event, this is the regular end of a stream
                 kind, _, body = await client.ask(60.0)
                 assert kind == "cut" and body.startswith(b"data: x\n\n")
                 assert counters.broken == 1 and not len(program.core.queries)
-            assert server.most_out == 1 and counters.exceptions == 0
+            assert server.max_in_flight == 1 and counters.exceptions == 0
 
     run(scene())
 
 
-def test_a_query_that_no_server_can_use_is_its_clients_fault(tmp_path: Path) -> None:
-    """Tried three times, each such query counted against three servers until good ones were ejected."""
+def test_client_errors_of_platform_servers_eject_no_server(tmp_path: Path) -> None:
+    """Such queries were tried three times each and counted against three servers, which ejected healthy ones."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", ["blame"] * 4)
+            (server,) = await start_servers(stack, "platform", ["blame"] * 4)
             program, ports = await stack.enter_async_context(running(tmp_path, [server]))
             client = Client("platform", ports["platform"])
             for _ in range(4):
@@ -448,10 +450,8 @@
     run(scene())
 
 
-def test_a_model_server_is_told_the_time_that_is_left_when_its_link_is_up(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """It was reckoned before the connect, which may take as long as it is allowed to."""
+def test_x_remaining_is_calculated_after_the_connect(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """It was calculated before the connect, which may take as long as the connect timeout."""
     connect = ServerLink._connect
 
     async def late(link: ServerLink) -> None:
@@ -462,7 +462,7 @@
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", ["serve"])
+            (server,) = await start_servers(stack, "platform", ["serve"])
             _, ports = await stack.enter_async_context(running(tmp_path, [server]))
             assert (await Client("platform", ports["platform"]).ask(3.0))[0] == "served"
             (head, _), *_ = server.seen
@@ -471,32 +471,33 @@
     run(scene())
 
 
-def test_before_the_program_is_killed_no_link_stays_on_which_a_query_may_come_whole(tmp_path: Path) -> None:
-    """Links accepted after SIGTERM stayed for the time that a first query has: one came whole as the kill did."""
+def test_no_connection_can_deliver_a_query_shortly_before_the_kill(tmp_path: Path) -> None:
+    """Connections accepted after SIGTERM had the normal read timeout, so a query could be complete just when the
+    process was killed."""
 
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            (server,) = await stand(stack, "platform", ["serve", "wait"])
+            (server,) = await start_servers(stack, "platform", ["serve", "wait"])
             program, ports = await stack.enter_async_context(running(tmp_path, [server]))
-            rests, busy, silent, half, late = (Client("platform", ports["platform"], n) for n in "rbshl")
-            assert (await rests.ask())[0] == "served"
+            idle, busy, silent, incomplete, late = (Client("platform", ports["platform"], n) for n in "rbshl")
+            assert (await idle.ask())[0] == "served"
             await busy.send()
-            wires = [await one.connect() for one in (rests, silent, half)]
+            wires = [await one.connect() for one in (idle, silent, incomplete)]
             wires[2].writer.write(f"POST {PATH} HTTP/1.1\r\n".encode())
-            await until(lambda: len(program.clients.owing) == 2 and len(server.seen) == 2)
+            await until(lambda: len(program.clients.awaiting_request) == 2 and len(server.seen) == 2)
             program.core.hurry(True, program.loop.time() - 10.0)
             program.clients.hurry()
             assert [await wire.more() for wire in wires[:2]] == [False, False]
             head = await wires[2].head(True)
-            assert head is not None and head.status == 503 and not head.keeps
+            assert head is not None and head.status == 503 and not head.keep_alive
             new = await late.connect()
             assert not await new.more()
             kind, head, _ = await Client("platform", ports["platform"], "n").ask()
             assert kind == "refused" and head is not None
-            # A stream that runs on to its end, begun before clients were told to go: its link ends with it.
+            # A stream that began before clients were asked to reconnect ends normally, and its connection with it.
             link = ClientLink(program.clients, program.fronts[LOCAL, ports["platform"]])
             link.connection_made(Transport())
-            link._next()
+            link._next_request()
             assert link.closing
             link.connection_lost(None)
             server.go_on.set()
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The OpenAI-style front as a published client library sees it."""
+"""The OpenAI-style front, used through a published client library."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.net_support import LOCAL, ModelServer, running
 
 
-def test_a_published_client_reads_answers_refusals_and_breaks(tmp_path: Path) -> None:
+def test_a_published_client_library_reads_answers_refusals_and_cut_streams(tmp_path: Path) -> None:
     script = ["serve", "serve", "serve", "half", "serve", "away", "away", "away"]
 
     async def scene() -> None:
@@ -22,11 +22,9 @@
             base = f"http://{LOCAL}:{ports['openai']}/v1"
             client = openai.AsyncOpenAI(base_url=base, api_key="none", max_retries=0)
             await stack.enter_async_context(client)
-            whole = await client.chat.completions.create(
-                model="chat", messages=[{"role": "user", "content": "hi"}]
-            )
-            assert whole.choices[0].message.content == "hellothere!" and whole.id == "c1"
-            assert whole.usage is not None and whole.usage.completion_tokens == 3
+            answer = await client.chat.completions.create(model="chat", messages=[{"role": "user", "content": "hi"}])
+            assert answer.choices[0].message.content == "hellothere!" and answer.id == "c1"
+            assert answer.usage is not None and answer.usage.completion_tokens == 3
             text = await client.completions.create(model="chat", prompt="hi")
             assert text.choices[0].text == "hellothere!" and text.choices[0].finish_reason == "stop"
 
@@ -37,13 +35,13 @@
                 async for event in events:
                     got.extend(choice.delta.content or "" for choice in event.choices)
 
-            for expected, breaks in ((3, False), (2, True), (3, False)):  # broken, then asked again
+            for expected, cut in ((3, False), (2, True), (3, False)):  # a cut stream, then a new request
                 got: list[str] = []
                 try:
                     await streamed(got)
-                    assert not breaks
+                    assert not cut
                 except Exception as error:
-                    assert breaks, error
+                    assert cut, error
                 assert got == ["hello", "there", "!"][:expected]
             with pytest.raises(openai.InternalServerError) as refused:
                 await streamed([])
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Every parser against random cuts of valid messages and random garbage."""
+"""Every parser with valid messages cut at random places, and with random garbage."""
 
 from __future__ import annotations
 
@@ -16,50 +16,48 @@
 
 @cut_settings
 @given(st.binary(max_size=900), cuts, st.integers(0, 50))
-def test_a_buffer_gives_back_what_it_took(data: bytes, sizes: list[int], keep: int) -> None:
+def test_a_buffer_returns_the_bytes_added_to_it(data: bytes, sizes: list[int], keep: int) -> None:
     taken: list[bytes] = []
     feed(data * 20, sizes, lambda buffer: taken.append(buffer.take(max(0, len(buffer) - keep))))
     assert b"".join(taken) == (data * 20)[: max(0, len(data) * 20 - keep)]
 
 
 @cut_settings
-@given(
-    cuts, st.dictionaries(st.text("abz-", min_size=1, max_size=8), st.text("a z9", max_size=9), max_size=5)
-)
-def test_a_head_is_read_the_same_however_it_is_cut(sizes: list[int], headers: dict[str, str]) -> None:
+@given(cuts, st.dictionaries(st.text("abz-", min_size=1, max_size=8), st.text("a z9", max_size=9), max_size=5))
+def test_a_head_is_parsed_the_same_however_it_is_cut(sizes: list[int], headers: dict[str, str]) -> None:
     lines = ["GET /a?b HTTP/1.1", *[f"{key}: {value}" for key, value in headers.items()], "", ""]
-    said = feed("\r\n".join(lines).encode(), sizes, read_head)
-    assert said[:-1] == [None] * (len(said) - 1)
-    head = said[-1]
+    results = feed("\r\n".join(lines).encode(), sizes, read_head)
+    assert results[:-1] == [None] * (len(results) - 1)
+    head = results[-1]
     assert isinstance(head, Head) and (head.method, head.path) == ("GET", "/a")
     assert head.headers == {key: value.strip() for key, value in headers.items()}
 
 
 @cut_settings
 @given(st.lists(st.binary(min_size=1, max_size=60), max_size=8), cuts)
-def test_chunks_are_read_the_same_however_they_are_cut(parts: list[bytes], sizes: list[int]) -> None:
+def test_chunks_are_parsed_the_same_however_they_are_cut(parts: list[bytes], sizes: list[int]) -> None:
     body = Body(chunked=True)
-    said = feed(b"".join(map(chunk, parts)) + LAST_CHUNK, sizes, body.feed)
-    assert b"".join(part for part in said if isinstance(part, bytes)) == b"".join(parts) and body.done
+    results = feed(b"".join(map(chunk, parts)) + LAST_CHUNK, sizes, body.feed)
+    assert b"".join(part for part in results if isinstance(part, bytes)) == b"".join(parts) and body.done
 
 
 @cut_settings
 @given(st.lists(st.sampled_from(["data: a", "data: b\ndata: c", ": x", "id: 1"]), max_size=6), cuts,
        st.sampled_from(["\n", "\r\n", "\r"]))  # fmt: skip
-def test_events_pass_whole_and_unchanged(events: list[str], sizes: list[int], end: str) -> None:
+def test_events_are_split_completely_and_unchanged(events: list[str], sizes: list[int], end: str) -> None:
     data = "".join(event.replace("\n", end) + end * 2 for event in events).encode()
     splitter = EventSplitter()
-    said = feed(data, sizes, lambda buffer: splitter.feed(buffer.take(len(buffer))))
-    assert b"".join(part for part in said if isinstance(part, bytes)) == data and not splitter.rest
+    results = feed(data, sizes, lambda buffer: splitter.feed(buffer.take(len(buffer))))
+    assert b"".join(part for part in results if isinstance(part, bytes)) == data and not splitter.remainder
     assert list(payloads(data)) == [e.replace("data: ", "").encode() for e in events if "data" in e]
 
 
 @cut_settings
 @given(garbage, cuts)
-def test_garbage_is_a_value_and_never_an_exception(data: bytes, sizes: list[int]) -> None:
+def test_garbage_results_in_a_value_and_never_in_an_exception(data: bytes, sizes: list[int]) -> None:
     for response in (False, True):
-        for said in feed(data, sizes, lambda buffer, r=response: read_head(buffer, r)):  # type: ignore[misc]
-            assert said is None or isinstance(said, Head | Malformed)
+        for result in feed(data, sizes, lambda buffer, r=response: read_head(buffer, r)):  # type: ignore[misc]
+            assert result is None or isinstance(result, Head | Malformed)
     body, splitter = Body(chunked=True), EventSplitter()
     feed(data, sizes, body.feed)
     feed(data, sizes, lambda buffer: splitter.feed(buffer.take(len(buffer))))
@@ -69,7 +67,7 @@
         assert isinstance(read(data.decode("latin-1")), HostList | BadList)
 
 
-def test_what_smuggles_or_overflows_is_malformed() -> None:
+def test_smuggled_and_oversized_input_is_malformed() -> None:
     for headers in ({"content-length": "1", "transfer-encoding": "chunked"}, {"content-length": "+1"},
                     {"transfer-encoding": "gzip"}):  # fmt: skip
         assert isinstance(body_of(Head("POST", "/", headers=headers)), Malformed)
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -136,7 +136,7 @@
             (refusal,) = [row for row in rows if row["event"] != "server_list"]  # the inventory is read again as well
             assert refusal["event"] == "reload_refused" and field in refusal["why"]
             assert program.config is current and program.counters.reload_failures == 1
-            assert program.clients.most > 300 and program.core.settings is current.settings
+            assert program.clients.max_links > 300 and program.core.settings is current.settings
             assert await LaneClient("platform", ports["platform"]).ask_in("agent") == 200
 
     asyncio.run(scene())
