--- a/pearstall/cli/ask.py
+++ b/pearstall/cli/ask.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pearstall.edge.client import DeviceClient, Held, Told, WireName
+from pearstall.edge.client import AttemptFailure, DeviceAsk, DeviceClient, WireName
 from pearstall.edge.records import Kind
 from pearstall.net.events import payloads
 
@@ -22,7 +22,7 @@
     """The command cuts its own link."""
 
 
-class _Shown(Held):
+class _Shown(DeviceAsk):
     """Prints what comes, as it comes."""
 
     def __init__(self, *given: Any, as_json: bool, drop_after: int | None) -> None:
@@ -71,7 +71,7 @@
         try:
             told = await client.attempt(cast(WireName, wire), held)
         except Dropped:
-            told = Told("dropped", "cut by --drop-after")
+            told = AttemptFailure("dropped", "cut by --drop-after")
             wait = 0.1
         if told is None:
             break
--- a/pearstall/cli/demo.py
+++ b/pearstall/cli/demo.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from pearstall.cli.ask import text_of
-from pearstall.edge.client import DeviceClient, Held
+from pearstall.edge.client import DeviceAsk, DeviceClient
 from pearstall.lab.rig import Rig, installation
 from pearstall.lab.servers import LOCAL, Behaviour
 from pearstall.net.events import payloads
@@ -82,7 +82,7 @@
     return await http.post(url, json=body, headers=headers)
 
 
-class _Cut(Held):
+class _Cut(DeviceAsk):
     def take(self, first: int, events: list[bytes], now: float) -> None:
         super().take(first, events, now)
         for event in events:
--- a/pearstall/edge/__init__.py
+++ b/pearstall/edge/__init__.py
@@ -1,1 +1,1 @@
-"""Device sessions for poor links: what outlives a connection, and the wires devices reach it by."""
+"""Device sessions for unreliable connections: the state that outlives a connection, and its wire protocols."""
--- a/pearstall/edge/attach.py
+++ b/pearstall/edge/attach.py
@@ -1,4 +1,4 @@
-"""Puts the edge beside the fronts of a program, where the operators' file opens it."""
+"""Runs the edge in a program beside its other fronts, if the operators' file enables it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from pearstall.edge.http import HttpWire
-from pearstall.edge.idempotency import Sharer
+from pearstall.edge.idempotency import IdempotencyKeys
 from pearstall.edge.link import EdgeLinks
 from pearstall.edge.service import Edge
 from pearstall.edge.settings import EdgeConfig
@@ -20,7 +20,7 @@
 
 
 class EdgeSide:
-    """The sessions, for the edge's wires where it is open, and for idempotency keys of the other front."""
+    """The sessions, used by the edge's wires (if enabled) and by the idempotency keys of the OpenAI-style front."""
 
     def __init__(self, config: Config, core: Core, clients: ClientLinks, now: Callable[[], float]) -> None:
         assert config.operators is not None
@@ -30,10 +30,16 @@
         self.note = make_logger(log.form, log.level, log.flood)
         self.listen = config.edge.listen if config.edge is not None else None
         self.edge = Edge(
-            config.edge or closed(config.openai), config.names, core, core.deadlines, self.note, config.seed, now
+            config.edge or without_wires(config.openai),
+            config.names,
+            core,
+            core.deadlines,
+            self.note,
+            config.seed,
+            now,
         )
         self.links = EdgeLinks(self.edge, HttpWire)
-        clients.share = Sharer(self.edge)
+        clients.share = IdempotencyKeys(self.edge)
 
     def listeners(self) -> dict[tuple[str, int], Callable[[], asyncio.BaseProtocol]]:
         return {self.listen: self.links} if self.listen is not None else {}
@@ -43,7 +49,7 @@
 
     def reload(self, config: Config) -> None:
         ready = self.edge.front.ready
-        self.edge.reload(config.edge or closed(config.openai), config.names)
+        self.edge.reload(config.edge or without_wires(config.openai), config.names)
         self.edge.front.ready = ready
 
     def leave(self) -> None:
@@ -61,6 +67,6 @@
         return "edge " + json.dumps(self.edge.state() | {"links": len(self.links.links)})
 
 
-def closed(asks: OpenAIConfig | None) -> EdgeConfig:
-    """Sessions without a wire: only idempotency keys use them."""
+def without_wires(asks: OpenAIConfig | None) -> EdgeConfig:
+    """The settings of an edge that listens nowhere: its sessions serve idempotency keys only."""
     return EdgeConfig(listen=("", 0), keyring=Keyring(), asks=asks or OpenAIConfig(listen=""))
--- a/pearstall/edge/client.py
+++ b/pearstall/edge/client.py
@@ -1,7 +1,7 @@
-"""A device: asks over any of the edge's wires, comes back over another, and holds what it was told.
+"""A device client: asks over any of the edge's wires, reconnects over any other, and stores the records it receives.
 
-Built on public client libraries (`httpx`, `websockets`), so that each run proves the wires against them. A `Held`
-is what the device keeps of an ask, whatever connection it came by; an *attempt* is one connection's part of it.
+It is built on public client libraries (`httpx`, `websockets`), so that each run tests the wires against them. A
+`DeviceAsk` is the device's side of an ask, across all its connections; an *attempt* is one of those connections.
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
 WIRES: tuple[WireName, ...] = ("ws-json", "ws-msgpack", "sse", "poll")
 PROTOCOLS = {"ws-json": "pearstall.json.1", "ws-msgpack": "pearstall.msgpack.1"}
 ACK_EVERY = 32  # events
-MOST_MESSAGE = 4 << 20
+MAX_MESSAGE_BYTES = 4 << 20
 
 
 class ProblemBody(msgspec.Struct):
-    """RFC 9457, with our extension members."""
+    """A problem by RFC 9457, with our extension members."""
 
     type: str = ""
     status: int = 0
@@ -73,8 +73,8 @@
 
 
 @dataclass(slots=True)
-class Told:
-    """Why an attempt ended without the final record."""
+class AttemptFailure:
+    """Why an attempt ended without the final record. `retry_after`: seconds."""
 
     code: str
     detail: str = ""
@@ -82,8 +82,8 @@
 
 
 @dataclass(slots=True)
-class Held:
-    """What a device holds of one ask. A breach of the order is noted, never mended."""
+class DeviceAsk:
+    """What a device has received of one ask. `breaches` collects violations of the record order; none is repaired."""
 
     id: str
     body: dict[str, Any]
@@ -91,12 +91,12 @@
     remaining: float | None = None
     events: list[bytes] = field(default_factory=list)
     final: Final | None = None
-    finals: int = 0  # times that the final record came
-    known: bool = False  # the edge has taken it
+    finals: int = 0  # how often the final record was received
+    accepted: bool = False  # the edge has accepted the ask
     epoch: int = 0
     acknowledged: bool = False
     breaches: list[str] = field(default_factory=list)
-    moments: list[float] = field(default_factory=list)  # when events came, seconds
+    event_times: list[float] = field(default_factory=list)  # when each event was received, in seconds
 
     @property
     def last(self) -> int:
@@ -104,23 +104,23 @@
 
     def take(self, first: int, events: list[bytes], now: float) -> None:
         if first != len(self.events) + 1:
-            self.breaches.append(f"events from {first} came, and {len(self.events) + 1} was due")
+            self.breaches.append(f"events from {first} were received, and {len(self.events) + 1} was expected")
         if self.final is not None:
-            self.breaches.append("events came behind the final record")
+            self.breaches.append("events were received after the final record")
         self.events += events
-        self.moments += [now] * len(events)
+        self.event_times += [now] * len(events)
 
     def end(self, final: Final) -> None:
         self.finals += 1
         if self.final is not None and self.final != final:
             self.breaches.append(f"two final records: {self.final} and {final}")
         if self.final is None and final.number != len(self.events) + 1 and final.reason not in ("room", "away"):
-            self.breaches.append(f"final record {final.number} behind {len(self.events)} events")
+            self.breaches.append(f"final record {final.number} after {len(self.events)} events")
         self.final = final
 
 
-def unnumbered(event: bytes) -> tuple[int, bytes]:
-    """An event of the stream without the number that the edge gave it."""
+def split_number(event: bytes) -> tuple[int, bytes]:
+    """Splits an event of the stream into the number that the edge added and the original event."""
     head, newline, rest = event.partition(b"\n")
     if head.startswith(b"id: "):
         return int(head[4:]), rest
@@ -133,152 +133,154 @@
     """One device. `url`: where the edge listens, as http://HOST:PORT."""
 
     def __init__(
-        self, url: str, token: str, clock: Callable[[], float] = time.monotonic, patience: float = 10.0
+        self, url: str, token: str, clock: Callable[[], float] = time.monotonic, timeout: float = 10.0
     ) -> None:
         self.url, self.token, self.clock = url.rstrip("/"), token, clock
-        self.patience = patience  # seconds without a byte after which a connection is taken for dead
+        self.timeout = timeout  # seconds without any data after which a connection is taken for dead
 
     def http(self) -> httpx.AsyncClient:
         return httpx.AsyncClient(
             base_url=self.url,
             headers={"Authorization": f"Bearer {self.token}"},
-            timeout=httpx.Timeout(self.patience, connect=self.patience),
+            timeout=httpx.Timeout(self.timeout, connect=self.timeout),
             trust_env=False,
-            verify=self.url.startswith("https"),  # a TLS context costs 10 ms, and plain links need none
+            verify=self.url.startswith("https"),  # a TLS context takes 10 ms, and plain connections need none
         )
 
-    async def attempt(self, wire: WireName, held: Held) -> Told | None:
-        """One connection: until the final record is held and acknowledged (None), or something ends it before."""
+    async def attempt(self, wire: WireName, ask: DeviceAsk) -> AttemptFailure | None:
+        """Makes one connection. Returns None once the final record is acknowledged, or why it ended before that."""
         try:
             if wire == "sse":
-                return await self._sse(held)
+                return await self._sse(ask)
             if wire == "poll":
-                return await self._poll(held)
-            return await self._websocket(wire, held)
+                return await self._poll(ask)
+            return await self._websocket(wire, ask)
         except (httpx.HTTPError, OSError, EOFError, TimeoutError, WebSocketException) as error:
-            return Told("dropped", f"{type(error).__name__}: {error}")
+            return AttemptFailure("dropped", f"{type(error).__name__}: {error}")
 
-    async def fetch(self, held: Held, wires: AsyncIterator[WireName] | None = None, wire: WireName = "sse") -> None:
-        """Attempts, one after the other, until the answer is held whole."""
+    async def fetch(
+        self, ask: DeviceAsk, wires: AsyncIterator[WireName] | None = None, wire: WireName = "sse"
+    ) -> None:
+        """Makes attempts until the whole answer has been received."""
         wait = 0.05
         while True:
-            told = await self.attempt(await anext(wires) if wires is not None else wire, held)
-            if told is None:
+            failure = await self.attempt(await anext(wires) if wires is not None else wire, ask)
+            if failure is None:
                 return
-            if told.code in ("unauthorized", "bad_ask", "ask_id_reused", "events_gone", "unknown_ask"):
-                raise Refused(told)
-            await asyncio.sleep(told.retry_after or wait)
+            if failure.code in ("unauthorized", "bad_ask", "ask_id_reused", "events_gone", "unknown_ask"):
+                raise AskRejected(failure)
+            await asyncio.sleep(failure.retry_after or wait)
             wait = min(1.0, wait * 2)
 
-    async def cancel(self, held: Held) -> Final | Told:
+    async def cancel(self, ask: DeviceAsk) -> Final | AttemptFailure:
         async with self.http() as http:
-            answer = await http.delete(f"/v1/asks/{held.id}")
+            answer = await http.delete(f"/v1/asks/{ask.id}")
             if answer.status_code != 200:
-                return _told(answer.status_code, answer.content)
+                return _failure_of(answer.status_code, answer.content)
             return msgspec.convert(answer.json()["final"], Final)
 
     # -- HTTP ----------------------------------------------------------------------------------------------
 
-    def _ask_headers(self, held: Held) -> dict[str, str]:
-        headers = {"Idempotency-Key": held.id, "Content-Type": "application/json"}
-        if held.lane:
-            headers["X-Lane"] = held.lane
-        if held.remaining is not None:
-            headers["X-Remaining"] = f"{held.remaining:g}"
+    def _ask_headers(self, ask: DeviceAsk) -> dict[str, str]:
+        headers = {"Idempotency-Key": ask.id, "Content-Type": "application/json"}
+        if ask.lane:
+            headers["X-Lane"] = ask.lane
+        if ask.remaining is not None:
+            headers["X-Remaining"] = f"{ask.remaining:g}"
         return headers
 
-    async def _sse(self, held: Held) -> Told | None:
+    async def _sse(self, ask: DeviceAsk) -> AttemptFailure | None:
         async with self.http() as http:
-            headers = {"Accept": "text/event-stream", "Last-Event-ID": str(held.last)}
-            if held.known:
-                request = http.build_request("GET", f"/v1/asks/{held.id}/events", headers=headers)
+            headers = {"Accept": "text/event-stream", "Last-Event-ID": str(ask.last)}
+            if ask.accepted:
+                request = http.build_request("GET", f"/v1/asks/{ask.id}/events", headers=headers)
             else:
-                headers |= self._ask_headers(held)
+                headers |= self._ask_headers(ask)
                 request = http.build_request(
-                    "POST", "/v1/asks", headers=headers, content=msgspec.json.encode(held.body)
+                    "POST", "/v1/asks", headers=headers, content=msgspec.json.encode(ask.body)
                 )
             answer = await http.send(request, stream=True)
             try:
                 if answer.status_code != 200:
-                    return self._problem(held, answer.status_code, await answer.aread())
-                held.known = True
-                held.epoch = int(answer.headers["Pearstall-Epoch"])
-                told = await self._stream(answer, held)
+                    return self._problem(ask, answer.status_code, await answer.aread())
+                ask.accepted = True
+                ask.epoch = int(answer.headers["Pearstall-Epoch"])
+                failure = await self._stream(answer, ask)
             finally:
                 await answer.aclose()
-            if told is not None:
-                return told
-            return await self._acknowledge(http, held)
+            if failure is not None:
+                return failure
+            return await self._acknowledge(http, ask)
 
-    async def _stream(self, answer: httpx.Response, held: Held) -> Told | None:
+    async def _stream(self, answer: httpx.Response, ask: DeviceAsk) -> AttemptFailure | None:
         splitter = EventSplitter()
         async for data in answer.aiter_raw():
             events = splitter.feed(data)
             if isinstance(events, Malformed):
-                return Told("dropped", events.why)
+                return AttemptFailure("dropped", events.why)
             for event in split_events(events):
                 if event.startswith(b"event: attached\n") or event.startswith(b":"):
                     continue
                 if event.startswith(b"event: superseded\n"):
-                    return Told("superseded")
+                    return AttemptFailure("superseded")
                 if event.startswith(b"event: final\n"):
-                    held.end(msgspec.json.decode(event.partition(b"\ndata: ")[2], type=Final))
+                    ask.end(msgspec.json.decode(event.partition(b"\ndata: ")[2], type=Final))
                     return None
-                number, body = unnumbered(event)
-                held.take(number, [body], self.clock())
-        return Told("dropped", "the stream ended before its final record")
+                number, body = split_number(event)
+                ask.take(number, [body], self.clock())
+        return AttemptFailure("dropped", "the stream ended before its final record")
 
-    async def _poll(self, held: Held) -> Told | None:
+    async def _poll(self, ask: DeviceAsk) -> AttemptFailure | None:
         async with self.http() as http:
-            if not held.known:
+            if not ask.accepted:
                 answer = await http.post(
-                    "/v1/asks", headers=self._ask_headers(held), content=msgspec.json.encode(held.body)
+                    "/v1/asks", headers=self._ask_headers(ask), content=msgspec.json.encode(ask.body)
                 )
                 if answer.status_code != 202:
-                    return self._problem(held, answer.status_code, answer.content)
-                held.known = True
+                    return self._problem(ask, answer.status_code, answer.content)
+                ask.accepted = True
             epoch: dict[str, str] = {}
-            while held.final is None:
+            while ask.final is None:
                 answer = await http.get(
-                    f"/v1/asks/{held.id}/poll",
-                    params={"after": str(held.last), "wait": f"{self.patience / 2:g}"} | epoch,
+                    f"/v1/asks/{ask.id}/poll",
+                    params={"after": str(ask.last), "wait": f"{self.timeout / 2:g}"} | epoch,
                     headers={"Accept": "application/msgpack"},
                 )
                 if answer.status_code != 200:
-                    return self._problem(held, answer.status_code, answer.content)
+                    return self._problem(ask, answer.status_code, answer.content)
                 polled = msgspec.msgpack.decode(answer.content, type=Polled)
-                held.epoch = polled.epoch
+                ask.epoch = polled.epoch
                 epoch = {"epoch": str(polled.epoch)}
-                self._records(held, polled.records)
-            return await self._acknowledge(http, held)
+                self._records(ask, polled.records)
+            return await self._acknowledge(http, ask)
 
-    def _records(self, held: Held, records: list[Events | Ended]) -> None:
+    def _records(self, ask: DeviceAsk, records: list[Events | Ended]) -> None:
         for record in records:
             if isinstance(record, Events):
-                held.take(record.first, record.events, self.clock())
+                ask.take(record.first, record.events, self.clock())
             else:
-                held.end(record.final)
+                ask.end(record.final)
 
-    async def _acknowledge(self, http: httpx.AsyncClient, held: Held) -> Told | None:
-        body = {"number": held.last, "epoch": held.epoch}
-        answer = await http.post(f"/v1/asks/{held.id}/ack", json=body)
+    async def _acknowledge(self, http: httpx.AsyncClient, ask: DeviceAsk) -> AttemptFailure | None:
+        body = {"number": ask.last, "epoch": ask.epoch}
+        answer = await http.post(f"/v1/asks/{ask.id}/ack", json=body)
         if answer.status_code not in (200, 204):
-            return self._problem(held, answer.status_code, answer.content)
-        held.acknowledged = True
+            return self._problem(ask, answer.status_code, answer.content)
+        ask.acknowledged = True
         return None
 
-    def _problem(self, held: Held, status: int, body: bytes) -> Told | None:
-        told = _told(status, body)
-        if told.code == "acknowledged":
-            return self._buried(held, told, msgspec.json.decode(body, type=ProblemBody).final)
-        return told
+    def _problem(self, ask: DeviceAsk, status: int, body: bytes) -> AttemptFailure | None:
+        failure = _failure_of(status, body)
+        if failure.code == "acknowledged":
+            return self._take_tombstone(ask, failure, msgspec.json.decode(body, type=ProblemBody).final)
+        return failure
 
-    def _buried(self, held: Held, told: Told, final: Final | None) -> Told | None:
-        """The edge holds only the final record: that is the end where the device lacks nothing else."""
-        if held.final is None and final is not None and final.number == len(held.events) + 1:
-            held.end(final)
-        held.acknowledged = True
-        return None if held.final is not None else Told("events_gone", told.detail)
+    def _take_tombstone(self, ask: DeviceAsk, failure: AttemptFailure, final: Final | None) -> AttemptFailure | None:
+        """The edge stores only the final record, which completes the ask if the device lacks nothing else."""
+        if ask.final is None and final is not None and final.number == len(ask.events) + 1:
+            ask.end(final)
+        ask.acknowledged = True
+        return None if ask.final is not None else AttemptFailure("events_gone", failure.detail)
 
     # -- WebSocket -----------------------------------------------------------------------------------------
 
@@ -290,11 +292,11 @@
                 self.url.replace("http", "ws", 1) + "/v1/device",
                 subprotocols=[Subprotocol(name)],
                 compression=None,
-                max_size=MOST_MESSAGE,
-                open_timeout=self.patience,
+                max_size=MAX_MESSAGE_BYTES,
+                open_timeout=self.timeout,
                 close_timeout=0.2,
-                ping_interval=self.patience / 2,
-                ping_timeout=self.patience / 2,
+                ping_interval=self.timeout / 2,
+                ping_timeout=self.timeout / 2,
                 proxy=None,
             )
             async with opened as socket:
@@ -302,70 +304,70 @@
         except InvalidHandshake as error:
             raise OSError(f"handshake: {error}") from None
 
-    async def _websocket(self, wire: WireName, held: Held) -> Told | None:
+    async def _websocket(self, wire: WireName, ask: DeviceAsk) -> AttemptFailure | None:
         async with self.socket(wire) as (socket, codec):
 
             async def send(message: Any) -> None:
                 data = codec.encode(message)
                 await socket.send(data.decode() if codec.text else data)
 
-            resume = [Position(held.id, held.last)] if held.known else []
+            resume = [Position(ask.id, ask.last)] if ask.accepted else []
             await send(Hello(self.token, resume))
             encode = msgspec.json.encode if codec.text else msgspec.msgpack.encode
-            acknowledged = held.last
+            acknowledged = ask.last
             while True:
                 try:
-                    message: ToDevice = codec.read(await asyncio.wait_for(socket.recv(), self.patience))
+                    message: ToDevice = codec.read(await asyncio.wait_for(socket.recv(), self.timeout))
                 except websockets.ConnectionClosed as error:
-                    return Told("dropped", str(error))
-                if isinstance(message, Welcome) and not held.known:
-                    body = msgspec.Raw(encode(held.body))
-                    await send(AskFor(held.id, body, 0, held.lane, held.remaining))
+                    return AttemptFailure("dropped", str(error))
+                if isinstance(message, Welcome) and not ask.accepted:
+                    body = msgspec.Raw(encode(ask.body))
+                    await send(AskFor(ask.id, body, 0, ask.lane, ask.remaining))
                 elif isinstance(message, Owned):
-                    held.known, held.epoch = True, message.epoch
+                    ask.accepted, ask.epoch = True, message.epoch
                 elif isinstance(message, Events):
-                    held.take(message.first, message.events, self.clock())
-                    if held.last - acknowledged >= ACK_EVERY:
-                        acknowledged = held.last
-                        await send(Ack(held.id, acknowledged))
+                    ask.take(message.first, message.events, self.clock())
+                    if ask.last - acknowledged >= ACK_EVERY:
+                        acknowledged = ask.last
+                        await send(Ack(ask.id, acknowledged))
                 elif isinstance(message, Ended):
-                    held.end(message.final)
-                    await send(Ack(held.id, message.final.number))
-                    # The connection ends in order: what was sent before its close is read by the edge.
-                    held.acknowledged = True
+                    ask.end(message.final)
+                    await send(Ack(ask.id, message.final.number))
+                    # The connection is closed in order, so the edge reads what was sent before the close.
+                    ask.acknowledged = True
                     return None
                 elif isinstance(message, Superseded):
-                    return Told("superseded")
+                    return AttemptFailure("superseded")
                 elif isinstance(message, Error):
-                    told = Told(message.code, message.detail, message.retry_after_ms / 1000)
+                    failure = AttemptFailure(message.code, message.detail, message.retry_after_ms / 1000)
                     if message.code == "acknowledged":
-                        return self._buried(held, told, message.final)
-                    return told
+                        return self._take_tombstone(ask, failure, message.final)
+                    return failure
 
-    async def cancel_by_socket(self, wire: WireName, held: Held) -> Final | Told:
+    async def cancel_by_socket(self, wire: WireName, ask: DeviceAsk) -> Final | AttemptFailure:
         async with self.socket(wire) as (socket, codec):
-            for message in (Hello(self.token), Cancel(held.id)):
+            for message in (Hello(self.token), Cancel(ask.id)):
                 data = codec.encode(message)
                 await socket.send(data.decode() if codec.text else data)
             while True:
-                told = codec.read(await asyncio.wait_for(socket.recv(), self.patience))
-                if isinstance(told, Ended):
-                    return told.final
-                if isinstance(told, Error):
-                    return Told(told.code, told.detail)
+                answer = codec.read(await asyncio.wait_for(socket.recv(), self.timeout))
+                if isinstance(answer, Ended):
+                    return answer.final
+                if isinstance(answer, Error):
+                    return AttemptFailure(answer.code, answer.detail)
 
 
-class Refused(Exception):
-    """An ask that no further attempt can bring on."""
+class AskRejected(Exception):
+    """An ask that no further attempt can complete."""
 
-    def __init__(self, told: Told) -> None:
-        super().__init__(f"{told.code}: {told.detail}")
-        self.told = told
+    def __init__(self, failure: AttemptFailure) -> None:
+        super().__init__(f"{failure.code}: {failure.detail}")
+        self.failure = failure
 
 
-def _told(status: int, body: bytes) -> Told:
+def _failure_of(status: int, body: bytes) -> AttemptFailure:
     try:
         found = msgspec.json.decode(body, type=ProblemBody)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return Told(f"status_{status}")
-    return Told(found.code or f"status_{status}", found.detail, found.retry_after_ms / 1000)
+        return AttemptFailure(f"status_{status}")
+    return AttemptFailure(found.code or f"status_{status}", found.detail, found.retry_after_ms / 1000)
--- a/pearstall/edge/frames.py
+++ b/pearstall/edge/frames.py
@@ -1,7 +1,7 @@
-"""The messages between devices and the edge, typed once for JSON and MessagePack. No I/O.
+"""The messages between devices and the edge, defined once for both JSON and MessagePack. No I/O.
 
-Every message is a map with its `type`. In MessagePack an event is a binary string; in JSON it is text, and only
-where it is no UTF-8 it stands in `data` as base64.
+Every message is a map with a `type`. In MessagePack an event is a binary string. In JSON it is text, unless it is not
+valid UTF-8: then it is sent in `data` as base64.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Position(msgspec.Struct, forbid_unknown_fields=True):
-    """`last`: the highest record number that the device holds of it; 0: none."""
+    """`last`: the highest record number of the ask that the device holds; 0: none."""
 
     ask: Id
     last: Number = 0
@@ -27,14 +27,14 @@
 
 
 class Hello(msgspec.Struct, tag="hello", forbid_unknown_fields=True):
-    """The first message. `token` may be left out where the handshake carried it."""
+    """The first message. `token` may be omitted if the handshake carried it."""
 
     token: str = ""
     resume: list[Position] = []
 
 
 class AskFor(msgspec.Struct, tag="ask", forbid_unknown_fields=True):
-    """`body`: a chat completion's. `remaining`: seconds the device waits for the first event."""
+    """`body`: the body of a chat completion. `remaining`: seconds that the device will wait for the first event."""
 
     ask: Id
     body: msgspec.Raw
@@ -49,7 +49,7 @@
 
 
 class Ack(msgspec.Struct, tag="ack", forbid_unknown_fields=True):
-    """Cumulative: the device holds all records up to this number."""
+    """Acknowledges all records up to this number."""
 
     ask: Id
     number: Number
@@ -66,8 +66,8 @@
 # -- to devices --------------------------------------------------------------------------------------------
 
 
-class Held(msgspec.Struct):
-    """What the edge holds of an ask: records `first` to `latest`."""
+class AskStatus(msgspec.Struct):
+    """The state of an ask at the edge, which stores its records `first` to `latest`."""
 
     ask: str
     state: str
@@ -77,12 +77,12 @@
 
 class Welcome(msgspec.Struct, tag="welcome"):
     device: str
-    asks: list[Held]
+    asks: list[AskStatus]
     keep_alive_ms: int
 
 
 class Owned(msgspec.Struct, tag="owned"):
-    """The connection reads the ask from here on, by this epoch."""
+    """The connection reads the ask from now on, under this epoch."""
 
     ask: str
     epoch: int
@@ -90,7 +90,7 @@
 
 
 class Events(msgspec.Struct, tag="events", omit_defaults=True):
-    """Whole events of the answer, unchanged, numbered from `first` on."""
+    """Whole events of the answer, unchanged, numbered from `first`."""
 
     ask: str
     first: int
@@ -113,7 +113,7 @@
 
 
 class Error(msgspec.Struct, tag="error", omit_defaults=True):
-    """`final`: the record that stands, where the ask has one."""
+    """`final`: the final record of the ask, if there is one."""
 
     code: str
     detail: str
@@ -127,7 +127,7 @@
 
 
 class Leaving(msgspec.Struct, tag="leaving"):
-    """The edge is about to end: nothing new is taken, and what is held should be fetched now."""
+    """The edge is shutting down: it accepts no new asks, and devices should fetch their answers now."""
 
     within_ms: int
 
@@ -141,7 +141,7 @@
     text: bool
 
     def decode(self, data: bytes | str) -> FromDevice:
-        """A msgspec.DecodeError where it is none of the messages."""
+        """Raises a msgspec.DecodeError if the data is not one of the messages."""
 
     def encode(self, message: ToDevice) -> bytes: ...
 
@@ -176,7 +176,7 @@
         return bytes(raw)
 
     def read(self, data: bytes | str) -> ToDevice:
-        """The device's side."""
+        """Decodes a message on the device's side."""
         return self._client.decode(data)
 
 
--- a/pearstall/edge/http.py
+++ b/pearstall/edge/http.py
@@ -1,14 +1,14 @@
-"""The edge over plain HTTP: asks by POST, events as a stream (server-sent events) or by long polls.
+"""The edge over plain HTTP: asks by POST, answers as a stream of server-sent events or by long polls.
 
-    POST   /v1/asks                  Idempotency-Key: ID; the body is a chat completion's
-    GET    /v1/asks                  what the edge holds for the device
+    POST   /v1/asks                  Idempotency-Key: ID; the body is that of a chat completion
+    GET    /v1/asks                  lists the device's asks
     GET    /v1/asks/ID/events        text/event-stream; Last-Event-ID, or ?after=N
-    GET    /v1/asks/ID/poll?after=N&wait=S&epoch=E    E: of the poll before it, if there was one
+    GET    /v1/asks/ID/poll?after=N&wait=S&epoch=E    E: the epoch of the previous poll, if any
     POST   /v1/asks/ID/ack           {"number": N, "epoch": E}
     DELETE /v1/asks/ID               cancels
     GET    /v1/device                upgrades to a WebSocket
 
-Problems are worded by RFC 9457. Event streams are those of WHATWG HTML, 9.2; a record's number is its `id`.
+Problems are encoded by RFC 9457. Event streams follow WHATWG HTML, 9.2; a record's number is its `id`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from pearstall.edge.frames import CODECS, Ended, Events, Held
+from pearstall.edge.frames import CODECS, AskStatus, Ended, Events
 from pearstall.edge.link import EdgeLink
 from pearstall.edge.records import Final, Problem, line_end
 from pearstall.edge.service import LEAVING
@@ -42,9 +42,9 @@
 from pearstall.net.platform import decimal
 
 ASKS, DEVICE, HEALTH = "/v1/asks", "/v1/device", "/_health"
-READ_LIMIT = 10.0  # seconds for a whole request: these links are slow
-IDLE_LIMIT = 60.0
-BATCH = 16 * 1024
+REQUEST_TIMEOUT = 10.0  # seconds to receive a whole request: these connections are slow
+IDLE_TIMEOUT = 60.0  # seconds between two requests
+BATCH_BYTES = 16 * 1024
 POLL_BYTES = 256 * 1024
 PROBLEMS = "https://pearstall.example/problems/"
 STREAM_HEAD = (
@@ -59,7 +59,7 @@
 
 
 def problem_reply(problem: Problem) -> Reply:
-    """RFC 9457, with the final record that stands and the advice as extension members."""
+    """A problem by RFC 9457, with the final record and the retry advice as extension members."""
     body: dict[str, object] = {
         "type": PROBLEMS + problem.code, "title": problem.code.replace("_", " "),
         "status": problem.status, "detail": problem.detail,
@@ -77,7 +77,7 @@
 
 
 def sse_event(number: int, event: bytes) -> bytes:
-    """The event with its number. The last `id` of an event counts, so ours stands last where it has one."""
+    """Adds the number to an event. The last `id` field of an event counts, so ours goes last if it has one."""
     if b"id" not in event:
         return b"id: %d\n%b" % (number, event)
     end = line_end(event)
@@ -89,7 +89,7 @@
 
 
 class HttpWire:
-    """Requests of a device, one after the other."""
+    """The requests of a device on one connection, one after the other."""
 
     def __init__(self, link: EdgeLink) -> None:
         self.link, self.edge = link, link.edge
@@ -98,15 +98,15 @@
         self.parts: list[bytes] = []
         self.size = 0
         self.reading: Stream | Poll | None = None
-        self.began = False
-        self.carried = 0  # requests answered
+        self.request_begun = False
+        self.requests_answered = 0
 
     def received(self, buffer: Buffer) -> None:
         while len(buffer) and not self.link.closing and self.link.wire is self and self.reading is None:
             if self.head is None:
-                if not self.began:
-                    self.began = True
-                    self.link.wait(READ_LIMIT, self._too_slow)
+                if not self.request_begun:
+                    self.request_begun = True
+                    self.link.set_timer(REQUEST_TIMEOUT, self._too_slow)
                 head = read_head(buffer)
                 if head is None:
                     return
@@ -133,7 +133,7 @@
                 return
             if not self.body.done:
                 return
-            self.link.wait(0)
+            self.link.set_timer(0)
             self._request(self.head, b"".join(self.parts))
 
     def writable(self) -> None:
@@ -145,10 +145,10 @@
             self.reading.lost()
 
     def leaving(self) -> None:
-        """Links at rest end. One that has only just come, or on which a request waits unread, is let be."""
+        """Closes an idle connection, but not a new one, nor one with an unread request."""
         transport = self.link.transport
-        resting = self.carried and self.reading is None and self.head is None and not self.began
-        if resting and transport is not None and not pending(transport):
+        idle = self.requests_answered and self.reading is None and self.head is None and not self.request_begun
+        if idle and transport is not None and not pending(transport):
             self.link.close()
 
     def _too_slow(self) -> None:
@@ -163,16 +163,16 @@
         if origin and origin in self.edge.config.allow_origins:
             reply.headers |= {"Access-Control-Allow-Origin": origin, "Vary": "Origin"}
         self.link.write(reply.encode(last))
-        self.next(last)
+        self.end_request(last)
 
-    def next(self, last: bool) -> None:
-        self.head, self.body, self.reading, self.began = None, None, None, False
-        self.carried += 1
+    def end_request(self, last: bool) -> None:
+        self.head, self.body, self.reading, self.request_begun = None, None, None, False
+        self.requests_answered += 1
         self.parts, self.size = [], 0
         if last:
             self.link.close()
         else:
-            self.link.wait(IDLE_LIMIT)
+            self.link.set_timer(IDLE_TIMEOUT)
 
     # -- requests ------------------------------------------------------------------------------------------
 
@@ -200,8 +200,8 @@
         if path == ASKS:
             self._asks(device, head, body)
             return
-        id, _, what = path.removeprefix(ASKS + "/").partition("/")
-        route = ROUTES.get(what) if path.startswith(ASKS + "/") and id else None
+        id, _, action = path.removeprefix(ASKS + "/").partition("/")
+        route = ROUTES.get(action) if path.startswith(ASKS + "/") and id else None
         if route is None:
             self.reply(problem_reply(Problem("no_such_path", f"nothing is at {path}", 404)))
         elif head.method != route[0]:
@@ -234,7 +234,7 @@
         if head.method == "GET":
             session = self.edge.sessions.find(device.id, device.tenant)
             asks = (session.asks or {}).values() if session is not None else ()
-            rows = [Held(ask.id, ask.state.name.lower(), ask.first, ask.latest) for ask in asks]
+            rows = [AskStatus(ask.id, ask.state.name.lower(), ask.first, ask.latest) for ask in asks]
             self.reply(Reply(200, msgspec.json.encode({"asks": rows})))
             return
         if head.method != "POST":
@@ -263,7 +263,7 @@
         if isinstance(made, Problem):
             self.reply(problem_reply(made))
         elif stream is None:
-            row = Held(made.id, made.state.name.lower(), made.first, made.latest)
+            row = AskStatus(made.id, made.state.name.lower(), made.first, made.latest)
             self.reply(Reply(202, msgspec.json.encode(row), {"Location": f"{ASKS}/{made.id}/events"}))
 
     def _position(self, head: Head, query: dict[str, str]) -> int | Problem:
@@ -285,12 +285,12 @@
         if isinstance(last, Problem):
             self.reply(problem_reply(last))
             return
-        packed = "application/msgpack" in head.headers.get("accept", "")
-        poll = Poll(self, min(wait or 0.0, self.edge.config.poll_most), packed)
-        # A poll goes on with the epoch of the one before it: else an old connection that polls on would take
-        # the ask back from a newer one, again and again.
-        held = query.get("epoch", "")
-        epoch = int(held) if held.isascii() and held.isdigit() and len(held) < 16 else None
+        as_msgpack = "application/msgpack" in head.headers.get("accept", "")
+        poll = Poll(self, min(wait or 0.0, self.edge.config.poll_most), as_msgpack)
+        # A poll carries on the epoch of the previous one. Otherwise an old connection that keeps polling would take
+        # the ask back from a newer one again and again.
+        text = query.get("epoch", "")
+        epoch = int(text) if text.isascii() and text.isdigit() and len(text) < 16 else None
         found = self.edge.attach(device, id, poll, last, epoch=epoch)
         if isinstance(found, Problem):
             self.reply(problem_reply(found))
@@ -327,21 +327,21 @@
 
 
 class Stream:
-    """An ask read as server-sent events, until its final record."""
+    """Reads an ask as server-sent events, up to its final record."""
 
     def __init__(self, wire: HttpWire) -> None:
         self.wire, self.link, self.edge = wire, wire.link, wire.edge
         self.ask: Ask | None = None
-        self.at = 0
+        self.at = 0  # the number of the last record written
         self.done = False
-        self.latest = self.edge.deadlines.clock.time()  # when something was written last
+        self.last_write = self.edge.deadlines.clock.time()
 
     def attached(self, ask: Ask, last: int) -> None:
         self.ask, self.at = ask, last
         self.wire.reading = self
-        opening = b'event: attached\ndata: {"epoch":%d}\n\n' % ask.epoch
-        self.link.write(f"{STREAM_HEAD}{ask.epoch}\r\n\r\n".encode() + chunk(opening))
-        self._quiet()
+        first_event = b'event: attached\ndata: {"epoch":%d}\n\n' % ask.epoch
+        self.link.write(f"{STREAM_HEAD}{ask.epoch}\r\n\r\n".encode() + chunk(first_event))
+        self._send_keep_alive()
         self.ready(ask)
 
     def ready(self, ask: Ask) -> None:
@@ -349,7 +349,7 @@
             return
         wrote = False
         while not self.link.full and not self.done:
-            events = ask.after(self.at, BATCH)
+            events = ask.after(self.at, BATCH_BYTES)
             if not events:
                 break
             out = [sse_event(number, event) for number, event in enumerate(events, self.at + 1)]
@@ -361,7 +361,7 @@
             self.at = final.number
             self._end(sse_final(final))
         elif wrote:
-            self.latest = self.edge.deadlines.clock.time()
+            self.last_write = self.edge.deadlines.clock.time()
 
     def writable(self) -> None:
         if self.ask is not None and not self.done:
@@ -376,31 +376,31 @@
         if self.ask is not None:
             self.ask.detach(self)
 
-    def _quiet(self) -> None:
-        """A comment now and then: a link on which nothing at all comes can't be told from a dead one."""
-        quiet = self.edge.deadlines.clock.time() - self.latest
+    def _send_keep_alive(self) -> None:
+        """Sends a comment after a silent interval: a device can't tell a silent connection from a dead one."""
+        silence = self.edge.deadlines.clock.time() - self.last_write
         least = self.edge.config.keep_alive.least
-        if quiet >= least and not self.link.full:
+        if silence >= least and not self.link.full:
             self.link.write(chunk(b":\n\n"))
-            quiet = 0.0
-        self.link.wait(max(0.05, least - quiet), self._quiet)
+            silence = 0.0
+        self.link.set_timer(max(0.05, least - silence), self._send_keep_alive)
 
     def _end(self, last: bytes) -> None:
         self.done = True
         self.link.write(chunk(last) + LAST_CHUNK)
         if self.ask is not None:
             self.ask.detach(self)
-        self.wire.next(last=True)
+        self.wire.end_request(last=True)
 
 
 class Poll:
-    """An ask read once: what there is, or what comes within the wait."""
+    """Reads an ask once: the records that there are, or the first ones that arrive within `wait` seconds."""
 
-    def __init__(self, wire: HttpWire, wait: float, packed: bool) -> None:
+    def __init__(self, wire: HttpWire, wait: float, as_msgpack: bool) -> None:
         self.wire, self.link = wire, wire.link
-        self.wait, self.packed = wait, packed
+        self.wait, self.as_msgpack = wait, as_msgpack
         self.ask: Ask | None = None
-        self.at = 0
+        self.at = 0  # the number of the last record that the device holds
         self.epoch = 0
 
     def attached(self, ask: Ask, last: int) -> None:
@@ -409,7 +409,7 @@
         self.ready(ask)
         if self.ask is not None:
             if self.wait:
-                self.link.wait(self.wait, self.answer)
+                self.link.set_timer(self.wait, self.answer)
             else:
                 self.answer()
 
@@ -425,14 +425,14 @@
         events = ask.after(self.at, POLL_BYTES)
         if events:
             records.append(Events(ask.id, self.at + 1, data=events))
-            if not self.packed:
-                with contextlib.suppress(UnicodeDecodeError):  # else `data` it is, as base64
+            if not self.as_msgpack:
+                with contextlib.suppress(UnicodeDecodeError):  # otherwise they stay in `data`, as base64
                     records = [Events(ask.id, self.at + 1, [event.decode() for event in events])]
         if ask.final is not None and self.at + len(events) == ask.final.number - 1:
             records.append(Ended(ask.id, ask.final))
         ask.detach(self)
         body = {"ask": ask.id, "epoch": self.epoch, "records": records}
-        if self.packed:
+        if self.as_msgpack:
             self.wire.reply(Reply(200, msgspec.msgpack.encode(body), {}, "application/msgpack"))
         else:
             self.wire.reply(Reply(200, msgspec.json.encode(body)))
@@ -440,7 +440,7 @@
             self.link.read()
 
     def writable(self) -> None:
-        pass  # one answer, written at once
+        pass  # the answer is written in one piece
 
     def superseded(self, ask: Ask) -> None:
         if self.ask is not None:
--- a/pearstall/edge/idempotency.py
+++ b/pearstall/edge/idempotency.py
@@ -1,8 +1,8 @@
-"""`Idempotency-Key` on the OpenAI-style front, through the device sessions.
+"""`Idempotency-Key` on the OpenAI-style front, implemented with the device sessions.
 
-The key names an ask of the caller (its API key's digest takes the place of a device). Asked again while the first
-runs, the newer connection takes over and reads the answer from its first event; asked again after its end, it gets
-the same answer, as long as it is kept.
+The key identifies an ask of the caller (the digest of its API key takes the place of a device). A request repeated
+while the first is running takes over: it reads the answer from the first event. A request repeated after the end gets
+the same answer, as long as that is stored.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from pearstall.net.http1 import Head, Reply
 from pearstall.net.openai import CHAT, COMPLETIONS, OpenAIFront, error
 
-BATCH = 64 * 1024
-LONGEST_KEY = 255
+BATCH_BYTES = 64 * 1024
+MAX_KEY_LENGTH = 255
 CODES = {"ask_id_reused": "idempotency_key_in_use", "acknowledged": "idempotency_key_expired"}
 
 
-class Sharer:
-    """Decides which queries of the OpenAI-style front go through sessions."""
+class IdempotencyKeys:
+    """Decides which queries of the OpenAI-style front go through sessions: those with an idempotency key."""
 
     def __init__(self, edge: Edge) -> None:
         self.edge = edge
@@ -45,10 +45,12 @@
         device = Device("key-" + blake3(caller.encode("latin-1", "replace")).hexdigest(12), "openai")
         reader = LinkReader(link, query)
         link.holder = reader
-        if len(key) > LONGEST_KEY:
-            reader.say(Problem("bad_key", f"Idempotency-Key holds {LONGEST_KEY} characters at most", 400))
+        if len(key) > MAX_KEY_LENGTH:
+            reader.answer_problem(
+                Problem("bad_key", f"Idempotency-Key holds {MAX_KEY_LENGTH} characters at most", 400)
+            )
             return
-        named = blake3(key.encode("latin-1", "replace")).hexdigest(16)
+        ask_id = blake3(key.encode("latin-1", "replace")).hexdigest(16)
 
         def make(ask: Ask) -> Query:
             if query.txn and query.txn in self.edge.core.open_ids:
@@ -56,13 +58,13 @@
             query.answer = ask
             return query
 
-        found = self.edge.ask(device, named, head.path, body, reader, make=make)
+        found = self.edge.ask(device, ask_id, head.path, body, reader, make=make)
         if isinstance(found, Problem):
-            reader.say(found)
+            reader.answer_problem(found)
 
 
 class LinkReader:
-    """Reads an ask for a client link: the link words it, as it words the answer of a query of its own."""
+    """Reads an ask for a client connection, which encodes it like the answer to a query of its own."""
 
     def __init__(self, link: ClientLink, query: Query) -> None:
         self.link, self.query = link, query
@@ -78,15 +80,15 @@
 
     def ready(self, ask: Ask) -> None:
         if not self.query.streams and ask.final is None:
-            return  # it is given whole: until its end another execution may begin it anew
+            return  # not streamed: until it ends, another attempt may start it over
         while self.ask is ask and not self.full:
-            events = ask.after(self.at, BATCH)
+            events = ask.after(self.at, BATCH_BYTES)
             if not events:
                 break
             self.at += len(events)
             self.link.pass_on(b"".join(events))
             if ask.full:
-                ask.acknowledge(self.at)  # too long to be kept whole: it can't be asked for again from its start
+                ask.acknowledge(self.at)  # too long to store: the answer can't be repeated from its start
         final = ask.final
         if self.ask is ask and final is not None and self.at == final.number - 1 and not self.full:
             self.ask = None
@@ -99,7 +101,7 @@
             if self.link.begun:
                 self.link.cut()
             else:
-                self.say(Problem("superseded", "another request with this key took its place", 409))
+                self.answer_problem(Problem("superseded", "another request with this key took its place", 409))
 
     # -- client_link.Holder --------------------------------------------------------------------------------
 
@@ -130,7 +132,7 @@
         else:
             link.fail(False)
 
-    def say(self, problem: Problem) -> None:
+    def answer_problem(self, problem: Problem) -> None:
         code = CODES.get(problem.code, problem.code)
         kind = "server_error" if problem.status >= 500 else "invalid_request_error"
         reply: Reply = error(problem.status, problem.detail, kind, code)
--- a/pearstall/edge/limits.py
+++ b/pearstall/edge/limits.py
@@ -1,8 +1,9 @@
-"""Rates, concurrency and reconnect storms at the edge. No I/O; told the time.
+"""Rate limits, concurrency limits and reconnect storms at the edge. No I/O; callers pass in the time.
 
-These limits protect the edge and share it out between devices and tenants. They pick no server, allow no further
-execution and shed nothing for the fleet: that is the Router's. Rates are the generic cell rate algorithm (ITU-T
-I.371; the virtual scheduling form), which keeps one number a bucket: the theoretical arrival time.
+These limits protect the edge and divide its capacity between devices and tenants. They choose no server, start no
+further attempts and shed no load on behalf of the fleet: that is the Router's task. Rate limits use the generic cell
+rate algorithm (ITU-T I.371, in its virtual scheduling form), which stores one number per bucket: the theoretical
+arrival time (TAT).
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from pearstall.edge.records import Problem
 from pearstall.edge.sessions import Session, Sessions
 
-MOST_TENANTS = 4096  # buckets held; past it, full buckets are dropped, and they hold nothing worth keeping
+MAX_TENANT_BUCKETS = 4096  # above this, full buckets are dropped: a new bucket would be the same
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Rates are asks a second; 0: no limit. `arrivals`: resumes and new asks in all, a second."""
+    """Rates are asks per second; 0: no limit. `arrivals`: resumes and new asks together, per second."""
 
     device_rate: float = 5.0
     device_burst: float = 10.0
@@ -29,36 +30,36 @@
     running: int = 10_000
     arrivals: float = 1000.0
     arrivals_burst: float = 500.0
-    ask_part: float = 0.5  # of the burst that new asks may use up; the rest is for those who come back
-    longest_wait: float = 30.0  # the latest a device is told to return
-    spread: float = 0.25  # of its wait, added at random, so that those told alike don't come back as one
+    ask_part: float = 0.5  # fraction of the burst that new asks may use; the rest is reserved for resumes
+    longest_wait: float = 30.0  # the longest wait that a device is told, before `spread`
+    spread: float = 0.25  # random fraction added to the wait, so that devices don't all return at the same moment
 
 
 def gcra(tat: float, now: float, rate: float, burst: float) -> tuple[float, float]:
-    """One arrival at a bucket: its new theoretical arrival time, and how long to wait (0: it may pass)."""
+    """One arrival at a bucket. Returns its new theoretical arrival time and the seconds to wait (0: it may pass)."""
     start = max(tat, now)
-    over = start - now - (burst - 1) / rate
-    if over > 1e-9:
-        return tat, over
+    wait = start - now - (burst - 1) / rate
+    if wait > 1e-9:
+        return tat, wait
     return start + 1 / rate, 0.0
 
 
 class Gate:
-    """Resumes before new asks, in a reconnect storm.
+    """Limits arrivals in a reconnect storm, and lets resumes in before new asks.
 
-    One bucket of arrivals; new asks may only use a part of its burst. Who must wait is given a place in a line
-    drawn out at the rate of the bucket: resumes' places come first, new asks' places behind them. A line is one
-    number, so a storm of any size costs no memory."""
+    There is one bucket of arrivals, and new asks may use only a part of its burst. An arrival that must wait is
+    assigned a time slot in a virtual queue that is served at the bucket's rate: slots of resumes come first, those of
+    new asks after them. Only the last slot of each queue is stored, so a storm of any size takes no memory."""
 
     def __init__(self, limits: Limits, random: Random) -> None:
         self.limits, self.random = limits, random
         self.tat = 0.0
-        self.resume_line = 0.0
-        self.ask_line = 0.0
+        self.last_resume_slot = 0.0
+        self.last_ask_slot = 0.0
         self.turned_off = 0
 
     def arrive(self, now: float, resumes: bool) -> float:
-        """Seconds to wait before coming back; 0: pass."""
+        """Seconds to wait before returning; 0: let in now."""
         limits = self.limits
         if not limits.arrivals:
             return 0.0
@@ -68,34 +69,34 @@
             self.tat = tat
             return 0.0
         self.turned_off += 1
-        step = 1 / limits.arrivals
+        interval = 1 / limits.arrivals
         if resumes:
-            self.resume_line = max(self.resume_line, now + wait) + step
-            place = self.resume_line
+            self.last_resume_slot = max(self.last_resume_slot, now + wait) + interval
+            slot = self.last_resume_slot
         else:
-            self.ask_line = max(self.ask_line, self.resume_line, now + wait) + step
-            place = self.ask_line
-        wait = min(place - now, limits.longest_wait)
+            self.last_ask_slot = max(self.last_ask_slot, self.last_resume_slot, now + wait) + interval
+            slot = self.last_ask_slot
+        wait = min(slot - now, limits.longest_wait)
         return wait * (1 + limits.spread * self.random.random())
 
 
 class Admission:
-    """Whether a new ask may begin: storm, rates, then how many run."""
+    """Decides whether a new ask may begin: by the concurrency limits, the rate limits and the storm gate."""
 
     def __init__(self, limits: Limits, random: Random) -> None:
         self.limits = limits
         self.gate = Gate(limits, random)
         self.tenant_tat: dict[str, float] = {}
 
-    def change(self, limits: Limits) -> None:
+    def set_limits(self, limits: Limits) -> None:
         self.limits = self.gate.limits = limits
 
     def arrive(self, now: float, resumes: bool) -> Problem | None:
         wait = self.gate.arrive(now, resumes)
-        return _storm(wait) if wait else None
+        return _storm_problem(wait) if wait else None
 
     def ask(self, now: float, session: Session, sessions: Sessions) -> Problem | None:
-        """Nothing is charged unless all of it allows the ask."""
+        """No bucket is charged unless every check allows the ask."""
         limits = self.limits
         if limits.running and sessions.running >= limits.running:
             return Problem("busy", "the edge runs as many asks as it may", 503, 1.0)
@@ -116,14 +117,14 @@
                 return Problem("tenant_rate", "the tenant asks too often", 429, wait)
         wait = self.gate.arrive(now, False)
         if wait:
-            return _storm(wait)
+            return _storm_problem(wait)
         session.tat = device_tat
         if limits.tenant_rate:
             self.tenant_tat[session.tenant] = tenant_tat
-            if len(self.tenant_tat) > MOST_TENANTS:
+            if len(self.tenant_tat) > MAX_TENANT_BUCKETS:
                 self.tenant_tat = {name: tat for name, tat in self.tenant_tat.items() if tat > now}
         return None
 
 
-def _storm(wait: float) -> Problem:
+def _storm_problem(wait: float) -> Problem:
     return Problem("storm", "many devices come back at once", 503, wait)
--- a/pearstall/edge/link.py
+++ b/pearstall/edge/link.py
@@ -1,6 +1,6 @@
-"""A device's connection: moves bytes between a socket and the wire that is spoken on it. Decides nothing.
+"""A device's connection: moves bytes between a socket and its wire (the protocol in use). Makes no decisions.
 
-It begins as HTTP/1.1, read by the project's own parser, and may become a WebSocket.
+It begins as HTTP/1.1, read by the project's own parser, and may be upgraded to a WebSocket.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from pearstall.net.pending import end_sending
 from pearstall.net.slots import Slots
 
-UNSENT = 32 * 1024  # towards a device, before nothing more is taken from its log
-LINGER = 1.0  # a link closed while more may come
+WRITE_BUFFER_LIMIT = 32 * 1024  # bytes not yet sent to a device; above this, nothing more is taken from its log
+CLOSE_LINGER = 1.0  # seconds that a half-closed connection keeps reading before it is aborted
 
 
 class Wire(Protocol):
-    """What is spoken on a link."""
+    """The protocol of a connection."""
 
     def received(self, buffer: Buffer) -> None:
-        """Bytes have come; those not taken stay."""
+        """Bytes have been received. Those not taken from the buffer stay in it."""
 
     def writable(self) -> None:
-        """The link has room again."""
+        """The connection can take more data again."""
 
     def lost(self) -> None:
-        """The link has ended."""
+        """The connection has been lost."""
 
     def leaving(self) -> None:
-        """The edge is about to end."""
+        """The edge is shutting down."""
 
 
 class EdgeLink(asyncio.BufferedProtocol):
@@ -43,7 +43,7 @@
         self.buffer = Buffer()
         self.handle = 0
         self.transport: asyncio.Transport | None = None
-        self.full = False  # nothing more should be written
+        self.full = False  # whether the write buffer is above its limit
         self.closing = False
         self.timer: Deadline | None = None
         self.wire: Wire = owner.first_wire(self)
@@ -51,7 +51,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(UNSENT)
+        transport.set_write_buffer_limits(WRITE_BUFFER_LIMIT)
         self.handle = self.owner.links.add(self)
         if len(self.owner.links) > self.edge.config.links:
             self.owner.crowded_out += 1
@@ -60,7 +60,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.owner.links.remove(self.handle)
         self.closing = True
-        self.wait(0)
+        self.set_timer(0)
         self.wire.lost()
 
     def eof_received(self) -> bool:
@@ -79,7 +79,7 @@
             return
         try:
             self.wire.received(self.buffer)
-        except Exception as error:  # stops here: no other link is harmed
+        except Exception as error:  # contained here, so that no other connection is affected
             self.owner.edge.core.counters.exceptions += 1
             log_exception(self.owner.edge.core.log, error)
             self.abort()
@@ -98,22 +98,22 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def wait(self, limit: float, then: Callable[[], object] | None = None) -> None:
-        """One deadline a link; 0: none."""
+    def set_timer(self, seconds: float, callback: Callable[[], object] | None = None) -> None:
+        """Sets the connection's only timer, in place of any earlier one; 0: no timer."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if limit:
-            self.timer = self.edge.deadlines.after(limit, then or self.close)
+        if seconds:
+            self.timer = self.edge.deadlines.after(seconds, callback or self.close)
 
     def close(self) -> None:
-        """Ends sending, and reads on for a moment: a reset would take what was said from under the device."""
+        """Ends sending, and reads on for a moment: a reset could destroy data that the device has not read yet."""
         if self.closing:
             return
         self.closing = True
         if self.transport is not None and not self.transport.is_closing():
             end_sending(self.transport)
-            self.wait(LINGER, self.abort)
+            self.set_timer(CLOSE_LINGER, self.abort)
 
     def abort(self) -> None:
         self.closing = True
@@ -126,7 +126,7 @@
         self.edge, self.first_wire = edge, first_wire
         self.links: Slots[EdgeLink] = Slots()
         self.crowded_out = 0
-        edge.told_leaving = self.leave
+        edge.on_leaving = self.leave
 
     def __call__(self) -> EdgeLink:
         return EdgeLink(self)
--- a/pearstall/edge/records.py
+++ b/pearstall/edge/records.py
@@ -1,4 +1,4 @@
-"""What an ask's log holds: numbered events, and the one final record. No I/O."""
+"""The records of an ask's log: numbered events, then one final record. No I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import msgspec
 
-EVENT = re.compile(rb"(?s:.*?)(?:\r\n\r\n|\n\n|\r\r)")
+EVENT_PATTERN = re.compile(rb"(?s:.*?)(?:\r\n\r\n|\n\n|\r\r)")
 
 
 class Kind(StrEnum):
-    """How an ask ended. `blamed`: a model server found the ask itself wrong."""
+    """How an ask ended. `blamed`: a model server rejected the ask itself as invalid."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -23,9 +23,9 @@
 
 
 class Final(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The final record: numbered one past the last event, the same however often it is delivered.
+    """The final record. Its number follows that of the last event, and it is the same each time it is delivered.
 
-    `retry_after_ms`: when asking anew (under a new id) is worth it; 0: no advice."""
+    `retry_after_ms`: how long to wait before asking again (under a new id); 0: no advice."""
 
     number: int
     kind: Kind
@@ -37,9 +37,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """Why the edge did not do what a device wanted; each wire words it its own way (RFC 9457 on HTTP).
+    """Why the edge did not carry out a device's request; each wire encodes it in its own form (RFC 9457 on HTTP).
 
-    `retry_after`: seconds; 0: no advice. `final`: the record that stands, where one does."""
+    `retry_after`: seconds; 0: no advice. `final`: the final record of the ask, if there is one."""
 
     code: str
     detail: str
@@ -49,19 +49,19 @@
 
 
 def split_events(events: bytes) -> list[bytes]:
-    """Whole server-sent events, each with its own end, every byte as it was. What `core` passes on always
-    ends with a whole event (WHATWG HTML, 9.2.5: lines end in CR LF, LF or CR)."""
+    """Splits whole server-sent events, each with its terminating blank line, without changing a byte. The data that
+    `core` passes on always ends with a whole event (WHATWG HTML, 9.2.5: lines end in CR LF, LF or CR)."""
     if b"\r" in events:
-        return EVENT.findall(events)
+        return EVENT_PATTERN.findall(events)
     if events.count(b"\n\n") == 1 and events.endswith(b"\n\n"):
         return [events]
     parts = events.split(b"\n\n")
-    if parts[-1] or b"" in parts[:-1]:  # an empty line too many belongs to no event: keep it with its own
-        return EVENT.findall(events)
+    if parts[-1] or b"" in parts[:-1]:  # extra empty lines belong to no event; the pattern keeps them
+        return EVENT_PATTERN.findall(events)
     parts.pop()
     return [part + b"\n\n" for part in parts]
 
 
 def line_end(event: bytes) -> bytes:
-    """How the lines of this event end."""
+    """The line terminator that this event uses."""
     return b"\r\n" if event.endswith(b"\r\n\r\n") else event[-1:]
--- a/pearstall/edge/settings.py
+++ b/pearstall/edge/settings.py
@@ -1,4 +1,4 @@
-"""What the operators' file says of the edge, typed."""
+"""The settings of the edge, as read from the operators' file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EdgeConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """Times are seconds. `asks` says how classes and models are read, as for the OpenAI-style front."""
+    """Times are in seconds. `asks`: how classes and models are read, as for the OpenAI-style front."""
 
     listen: tuple[str, int]
     keyring: Keyring
@@ -21,9 +21,9 @@
     limits: Limits = msgspec.field(default_factory=Limits)
     keep_alive: KeepAlive = msgspec.field(default_factory=KeepAlive)
     deflate: bool = False
-    most_message: int = 300_000  # bytes of a message of a device, and of a body
+    most_message: int = 300_000  # maximum size in bytes of a device's message or request body
     hello_within: float = 10.0
-    poll_most: float = 25.0  # the longest a poll waits
-    drain: float = 10.0  # after SIGTERM, for devices to fetch what is theirs
-    links: int = 20_000
+    poll_most: float = 25.0  # the longest time that a poll waits
+    drain: float = 10.0  # time after SIGTERM for devices to fetch their answers
+    links: int = 20_000  # maximum number of connections
     allow_origins: list[str] = []
--- a/pearstall/edge/websocket.py
+++ b/pearstall/edge/websocket.py
@@ -1,7 +1,8 @@
-"""WebSocket (RFC 6455) on wsproto: one machine a connection, bytes in, bytes out, messages in between.
+"""WebSocket (RFC 6455) on wsproto, with one protocol state machine per connection.
 
-A connection says `hello` first, by a token there or in its handshake. After that it asks, resumes, acknowledges and
-cancels; what it owns is written as the link has room. Close codes tell the cause (RFC 6455, 7.4; 4000 on are ours).
+A connection sends `hello` first, with a token there or in its handshake. After that it may ask, resume, acknowledge
+and cancel. Records of the asks that it owns are written as fast as the connection takes them. Close codes give the
+cause (RFC 6455, 7.4; codes from 4000 on are our own).
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
     CODECS,
     Ack,
     AskFor,
+    AskStatus,
     Cancel,
     Ended,
     Error,
-    Held,
     Hello,
     Json,
     Leaving,
@@ -38,7 +39,7 @@
     ToDevice,
     Welcome,
 )
-from pearstall.edge.keepalive import Pulse
+from pearstall.edge.keepalive import KeepAliveMonitor
 from pearstall.edge.link import EdgeLink
 from pearstall.edge.records import Problem
 from pearstall.edge.sessions import Ask
@@ -48,17 +49,17 @@
 
 PROTOCOL_ERROR, UNSUPPORTED, BAD_DATA, TOO_BIG, TRY_LATER = 1002, 1003, 1007, 1009, 1013
 UNAUTHORIZED, NO_HELLO, SILENT = 4401, 4408, 4409
-MOST_OWNED = 64  # asks that one connection reads at once
-BATCH = 16 * 1024  # bytes of events in one message
+MAX_OWNED = 64  # maximum number of asks that one connection reads at once
+BATCH_BYTES = 16 * 1024  # maximum bytes of events in one message
 
 
 class Deflate(PerMessageDeflate):
-    """Per-message deflate (RFC 7692), mended in two places: in wsproto 1.3 a control frame between the fragments of a
-    message ends its decompression, and what a message inflates to has no bound."""
+    """Per-message deflate (RFC 7692), which corrects two faults of wsproto 1.3: there, a control frame between the
+    fragments of a message ends its decompression, and the size of a decompressed message is unlimited."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_bytes: int) -> None:
         super().__init__()
-        self.most = most
+        self.max_bytes = max_bytes
         self.control = False
 
     def frame_inbound_header(
@@ -73,7 +74,7 @@
         if self.control or not self._inbound_compressed or self._decompressor is None:
             return data
         try:
-            out = self._decompressor.decompress(bytes(data), self.most + 1)
+            out = self._decompressor.decompress(bytes(data), self.max_bytes + 1)
         except zlib.error:
             return CloseReason.INVALID_FRAME_PAYLOAD_DATA
         return CloseReason.MESSAGE_TOO_BIG if self._decompressor.unconsumed_tail else out
@@ -83,8 +84,8 @@
 
 
 def accept(head: Head, deflate: int) -> tuple[bytes, str, list[Extension]] | str:
-    """The answer to a handshake (RFC 6455, 4.2), with the subprotocol and extensions agreed on; or what is
-    wrong with it. `deflate`: bytes that a compressed message may hold; 0: none is compressed."""
+    """The response to a handshake (RFC 6455, 4.2), with the negotiated subprotocol and extensions; or what is wrong
+    with the handshake. `deflate`: maximum size in bytes of a decompressed message; 0: no compression."""
     headers = head.headers
     if "upgrade" not in headers.get("connection", "").lower():
         return "Connection: Upgrade is missing"
@@ -115,9 +116,9 @@
     return "\r\n".join([*lines, "", ""]).encode(), chosen, extensions
 
 
-def whole_frame(data: bytes, text: bool) -> bytes:
-    """One message of a server in one frame, unmasked (RFC 6455, 5.2). The way by wsproto's events costs eleven times
-    as much, once for each event that is passed on; it stays for all else."""
+def encode_frame(data: bytes, text: bool) -> bytes:
+    """Encodes one message of a server as one unmasked frame (RFC 6455, 5.2). Encoding by wsproto's events, which is
+    used for everything else, costs eleven times as much, and would be paid for each event that is passed on."""
     opcode, size = 0x81 if text else 0x82, len(data)
     if size < 126:
         return bytes((opcode, size)) + data
@@ -127,12 +128,12 @@
 
 
 class WebSocketWire:
-    """One device's connection; reads the asks that it owns."""
+    """One device's connection, which reads the asks that it owns."""
 
     def __init__(self, link: EdgeLink, codec: Json | MessagePack, token: str, extensions: list[Extension]) -> None:
         self.link, self.edge, self.codec, self.token = link, link.edge, codec, token
         self.socket = Connection(ConnectionType.SERVER, extensions)
-        self.plain = not extensions  # messages go out as they are
+        self.uncompressed = not extensions  # whether frames can be encoded without wsproto
         self.device: Device | None = None
         self.owned: dict[str, Ask] = {}
         self.sent: dict[str, int] = {}  # ask -> the highest number written
@@ -141,13 +142,13 @@
         self.ended = False
         clock = link.edge.deadlines.clock
         self.clock = clock.time
-        self.pulse = Pulse(link.edge.config.keep_alive, clock.time())
-        link.wait(link.edge.config.hello_within, lambda: self.close(NO_HELLO, "no hello came"))
+        self.keep_alive = KeepAliveMonitor(link.edge.config.keep_alive, clock.time())
+        link.set_timer(link.edge.config.hello_within, lambda: self.close(NO_HELLO, "no hello came"))
 
     # -- Wire ----------------------------------------------------------------------------------------------
 
     def received(self, buffer: Buffer) -> None:
-        self.pulse.came(self.clock())
+        self.keep_alive.received(self.clock())
         try:
             self.socket.receive_data(buffer.take(len(buffer)))
             for event in self.socket.events():
@@ -158,7 +159,7 @@
             self.close(PROTOCOL_ERROR, str(error)[:100])
 
     def writable(self) -> None:
-        """Asks take turns, so that a long answer doesn't hold up the short one behind it."""
+        """Writes the asks in turn, so that a long answer doesn't delay a short one."""
         for ask in list(self.owned.values()):
             if self.link.full or self.ended:
                 return
@@ -186,7 +187,7 @@
         if at is None:
             return
         while not self.link.full and not self.ended:
-            events = ask.after(at, BATCH)
+            events = ask.after(at, BATCH_BYTES)
             if not events:
                 break
             self._write(self.codec.events(ask.id, at + 1, events))
@@ -220,7 +221,7 @@
         elif isinstance(event, PingFrame):
             self._frame(event.response())
         elif isinstance(event, PongFrame):
-            self.pulse.answered(self.clock())
+            self.keep_alive.pong_received(self.clock())
         elif isinstance(event, CloseConnection):
             self._frame(event.response())
             self.ended = True
@@ -238,7 +239,7 @@
             else:
                 self.close(UNAUTHORIZED, "hello comes first")
         elif isinstance(message, AskFor):
-            if message.ask not in self.owned and len(self.owned) >= MOST_OWNED:
+            if message.ask not in self.owned and len(self.owned) >= MAX_OWNED:
                 self._problem(Problem("too_many_asks", "this connection reads enough asks", 429), message.ask)
                 return
             try:
@@ -246,9 +247,16 @@
             except (msgspec.DecodeError, TypeError) as error:
                 self._problem(Problem("bad_ask", f"body: {error}", 400), message.ask)
                 return
-            self._claimed(
+            self._report_failure(
                 self.edge.ask(
-                    self.device, message.ask, message.lane, body, self, message.last, message.remaining, storm=False
+                    self.device,
+                    message.ask,
+                    message.lane,
+                    body,
+                    self,
+                    message.last,
+                    message.remaining,
+                    check_storm=False,
                 ),
                 message.ask,
             )
@@ -270,33 +278,33 @@
             self.send(Pong(message.at))
 
     def _hello(self, hello: Hello) -> None:
-        who = self.edge.authenticate(hello.token or self.token)
-        if isinstance(who, Problem):
-            self._problem(who, "")
-            self.close(UNAUTHORIZED, who.code)
+        device = self.edge.authenticate(hello.token or self.token)
+        if isinstance(device, Problem):
+            self._problem(device, "")
+            self.close(UNAUTHORIZED, device.code)
             return
-        session = self.edge.sessions.find(who.id, who.tenant)
-        wait = self.edge.arrive(who.id, bool(hello.resume or (session is not None and session.asks)))
+        session = self.edge.sessions.find(device.id, device.tenant)
+        wait = self.edge.arrive(device.id, bool(hello.resume or (session is not None and session.asks)))
         if wait is not None:
             self._problem(wait, "")
             self.close(TRY_LATER, wait.code)
             return
-        self.device = who
-        held = []
+        self.device = device
+        statuses = []
         for ask in ((session.asks or {}) if session is not None else {}).values():
-            held.append(Held(ask.id, ask.state.name.lower(), ask.first, ask.latest))
-        self.send(Welcome(who.id, held, int(self.pulse.interval * 1000)))
-        for position in hello.resume[:MOST_OWNED]:
-            self._resume(position.ask, position.last, storm=False)
+            statuses.append(AskStatus(ask.id, ask.state.name.lower(), ask.first, ask.latest))
+        self.send(Welcome(device.id, statuses, int(self.keep_alive.interval * 1000)))
+        for position in hello.resume[:MAX_OWNED]:
+            self._resume(position.ask, position.last, check_storm=False)
         if self.edge.leaving_at:
             self.leaving()
-        self._beat()
+        self._check_keep_alive()
 
-    def _resume(self, id: str, last: int, storm: bool = True) -> None:
+    def _resume(self, id: str, last: int, check_storm: bool = True) -> None:
         assert self.device is not None
-        self._claimed(self.edge.attach(self.device, id, self, last, storm), id)
+        self._report_failure(self.edge.attach(self.device, id, self, last, check_storm), id)
 
-    def _claimed(self, found: Ask | Problem, id: str) -> None:
+    def _report_failure(self, found: Ask | Problem, id: str) -> None:
         if isinstance(found, Problem):
             self._problem(found, id)
 
@@ -307,7 +315,7 @@
     def _problem(self, problem: Problem, id: str) -> None:
         self.send(Error(problem.code, problem.detail, id, int(problem.retry_after * 1000), problem.final))
 
-    # -- the link ------------------------------------------------------------------------------------------
+    # -- the connection ------------------------------------------------------------------------------------
 
     def send(self, message: ToDevice) -> None:
         self._write(self.codec.encode(message))
@@ -315,8 +323,8 @@
     def _write(self, data: bytes) -> None:
         if self.ended:
             return
-        if self.plain:
-            self.link.write(whole_frame(data, self.codec.text))
+        if self.uncompressed:
+            self.link.write(encode_frame(data, self.codec.text))
         else:
             self._frame(TextMessage(data.decode()) if self.codec.text else BytesMessage(data))
 
@@ -324,7 +332,7 @@
         try:
             self.link.write(self.socket.send(event))
         except LocalProtocolError:
-            self.ended = True  # closed meanwhile
+            self.ended = True  # the connection has been closed meanwhile
 
     def close(self, code: int, why: str) -> None:
         if not self.ended:
@@ -332,16 +340,18 @@
             self.ended = True
             self.link.close()
 
-    def _beat(self) -> None:
-        what, wait = self.pulse.due(self.clock())
-        if what == "dead":
-            # Half open: nothing comes back. Its asks are away from now on; a new connection is welcome.
-            self.edge.note("link_dead", device=self.device.id if self.device else "", within=self.pulse.patience)
+    def _check_keep_alive(self) -> None:
+        action, wait = self.keep_alive.next_action(self.clock())
+        if action == "dead":
+            # Half open: nothing is received any more. Its asks are away from now on, until the device reconnects.
+            self.edge.note(
+                "link_dead", device=self.device.id if self.device else "", within=self.keep_alive.answer_timeout
+            )
             self.close(SILENT, "no answer to a ping")
             self.link.abort()
             return
-        if what == "ask":
-            self.pulse.ask(self.clock())
+        if action == "ping":
+            self.keep_alive.ping(self.clock())
             self._frame(PingFrame(b"p"))
-            wait = self.pulse.patience
-        self.link.wait(max(wait, 0.01), self._beat)
+            wait = self.keep_alive.answer_timeout
+        self.link.set_timer(max(wait, 0.01), self._check_keep_alive)
--- a/pearstall/lab/devices.py
+++ b/pearstall/lab/devices.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from pearstall.config.operators import LogConfig, Operators
-from pearstall.edge.client import WIRES, DeviceClient, Held, WireName
+from pearstall.edge.client import WIRES, DeviceAsk, DeviceClient, WireName
 from pearstall.edge.keeping import Bounds
 from pearstall.edge.limits import Limits
 from pearstall.edge.records import Kind
@@ -164,7 +164,7 @@
         self.cell = ""
         self._enter()
         token = mint(Key("lab", SECRET, "t0"), self.name, int(world.loop.wall()) + 10**8)
-        client = DeviceClient(f"http://{self.router.host}:{EDGE_PORT}", token, world.loop.time, patience=8.0)
+        client = DeviceClient(f"http://{self.router.host}:{EDGE_PORT}", token, world.loop.time, timeout=8.0)
         habits = Habits(klass.leaves, klass.stays, klass.cancels, 0.1, 0.1, 2.0, klass.wires)
         self.phone = Phone(client, self.random, habits, load.books, self.move, MAY_MEND)
 
@@ -199,7 +199,7 @@
         limit = began + 120.0 + 10 * lane.give_up
         while True:
             self.asks += 1
-            held = Held(f"a{self.asks}", body, lane.name, lane.give_up)
+            held = DeviceAsk(f"a{self.asks}", body, lane.name, lane.give_up)
             self.load.ledger.asked(self.name, held)
             if klass.sleeps and random.random() < klass.sleeps:
                 await self._ask_and_sleep(held)
@@ -220,7 +220,7 @@
         books.waits.append(world.loop.now - began)
         world.note("held", self.name, held.id, len(held.events))
 
-    async def _ask_and_sleep(self, held: Held) -> None:
+    async def _ask_and_sleep(self, held: DeviceAsk) -> None:
         """Asks, is gone at once, and comes back later from another cell."""
         task = asyncio.ensure_future(self.phone.client.attempt("ws-json", held))
         await asyncio.wait({task}, timeout=1.0)
@@ -229,7 +229,7 @@
         await asyncio.wait({task})
         await asyncio.sleep(self.random.uniform(0, 2 * self.klass.every))
 
-    async def _fetch(self, held: Held) -> str | None:
+    async def _fetch(self, held: DeviceAsk) -> str | None:
         """The code that nothing mends, or None. A device that moves does so in the midst of an attempt."""
         while True:
             be(self.cell)  # the phone may have moved by itself
--- a/pearstall/lab/ledger.py
+++ b/pearstall/lab/ledger.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pearstall.edge.client import Held
+from pearstall.edge.client import DeviceAsk
 from pearstall.edge.records import Kind
 from pearstall.lab.servers import Books, Execution
 
@@ -33,7 +33,7 @@
 @dataclass(slots=True)
 class Entry:
     device: str
-    held: Held
+    held: DeviceAsk
     said: list[dict[str, Any]] = field(default_factory=list)  # the edge's `final` notes
     executions: list[Execution] = field(default_factory=list)
     said_at: float = math.inf  # when the edge made its final record, on the ledger's clock
@@ -48,7 +48,7 @@
         self.entries: dict[tuple[str, str], Entry] = {}
         self.events: Counter[str] = Counter()
 
-    def asked(self, device: str, held: Held) -> None:
+    def asked(self, device: str, held: DeviceAsk) -> None:
         self.entries[device, held.id] = Entry(device, held)
 
     def note(self, event: str, **fields: Any) -> None:
@@ -92,7 +92,7 @@
     return out
 
 
-def _content(entry: Entry, held: Held) -> list[tuple[str, str]]:
+def _content(entry: Entry, held: DeviceAsk) -> list[tuple[str, str]]:
     """Every event once, in order and byte for byte, of one execution."""
     assert held.final is not None
     if held.final.kind == Kind.SERVED:
--- a/pearstall/lab/phones.py
+++ b/pearstall/lab/phones.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from pearstall.edge.client import WIRES, DeviceClient, Held, Told, WireName
+from pearstall.edge.client import WIRES, AttemptFailure, DeviceAsk, DeviceClient, WireName
 from pearstall.edge.records import Final
 
 AGAIN = ("superseded", "dropped", "abandoned", "storm", "busy", "device_concurrency")  # what another attempt may mend
@@ -54,7 +54,7 @@
         self.client, self.random, self.habits, self.deeds = client, random, habits, deeds
         self.abandon, self.again = abandon, again
 
-    async def _attempt(self, wire: WireName, held: Held, leave: float | None) -> Told | None:
+    async def _attempt(self, wire: WireName, held: DeviceAsk, leave: float | None) -> AttemptFailure | None:
         task = asyncio.ensure_future(self.client.attempt(wire, held))
         try:
             done, _ = await asyncio.wait({task}, timeout=leave)
@@ -62,13 +62,13 @@
                 return task.result()
             self.deeds.abandoned += 1
             self.abandon()
-            return Told("abandoned")
+            return AttemptFailure("abandoned")
         finally:
             if not task.done():
                 task.cancel()
                 await asyncio.wait({task})
 
-    async def fetch(self, held: Held) -> Told | None:
+    async def fetch(self, held: DeviceAsk) -> AttemptFailure | None:
         """Attempts until the final record is held (None), or a code comes that no other attempt can mend."""
         random, habits, deeds = self.random, self.habits, self.deeds
         before, pause = "", habits.pause
@@ -79,8 +79,8 @@
             deeds.by_wire[wire] = deeds.by_wire.get(wire, 0) + 1
             deeds.wire_changes += bool(before) and wire != before
             before = wire
-            if held.known and not held.events and random.random() < habits.repeats:
-                held.known = False  # its acceptance was lost: the ask goes out again, the same
+            if held.accepted and not held.events and random.random() < habits.repeats:
+                held.accepted = False  # its acceptance was lost: the ask goes out again, the same
             leave = random.expovariate(1 / habits.stays) if random.random() < habits.leaves else None
             told = await self._attempt(wire, held, leave)
             if told is None:
@@ -88,13 +88,13 @@
             deeds.told[told.code] = deeds.told.get(told.code, 0) + 1
             if told.code not in self.again:
                 return told
-            if cancels and held.known and held.final is None and random.random() < 0.5:
+            if cancels and held.accepted and held.final is None and random.random() < 0.5:
                 cancels = False
                 await self._cancel(held)
             await asyncio.sleep(told.retry_after or random.uniform(0, pause))
             pause = min(habits.most_pause, pause * 2)
 
-    async def _cancel(self, held: Held) -> None:
+    async def _cancel(self, held: DeviceAsk) -> None:
         """The record that stands is told: the same that comes by every wire afterwards."""
         try:
             final = await self.client.cancel(held)
--- a/pearstall/lab/poor_links.py
+++ b/pearstall/lab/poor_links.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from pearstall.edge.client import DeviceClient, Held
+from pearstall.edge.client import DeviceAsk, DeviceClient
 from pearstall.lab.ledger import Breach, Ledger
 from pearstall.lab.phones import Deeds, Habits, Phone
 from pearstall.lab.rig import Rig, installation
@@ -73,7 +73,7 @@
         random = self.random
         content = f"{self.name} {id} " + "x" * random.randint(0, 200)
         body = {"model": "toy", "messages": [{"role": "user", "content": content}]}
-        held = Held(id, body, random.choice(("", "", "agent")), 5.0)
+        held = DeviceAsk(id, body, random.choice(("", "", "agent")), 5.0)
         self.ledger.asked(self.name, held)
         began = time.monotonic()
         async with asyncio.timeout(patience):
@@ -135,7 +135,7 @@
         counters = rig.program.counters
         report.exceptions, report.overdue = counters.exceptions, counters.overdue
         await asyncio.sleep(0.1)
-        held = rig.edge.sessions.held
+        held = rig.edge.sessions.usage
         report.left = {
             "running": rig.edge.sessions.running, "bytes": held.bytes, "queries": len(rig.program.core.queries),
             "running_away": held.running_away,
--- a/pearstall/lab/rig.py
+++ b/pearstall/lab/rig.py
@@ -88,7 +88,7 @@
 
     def device(self, name: str, port: int = 0, patience: float = 10.0) -> DeviceClient:
         url = f"http://{LOCAL}:{port}" if port else self.url
-        return DeviceClient(url, self.token(name), patience=patience)
+        return DeviceClient(url, self.token(name), timeout=patience)
 
 
 @asynccontextmanager
--- a/pearstall/models/mutants.py
+++ b/pearstall/models/mutants.py
@@ -221,7 +221,7 @@
     ),
     Mutant(
         "one event too many is let go",
-        S + "Ask._release",
+        S + "Ask._drop_acknowledged",
         "number + 1 - self.first",
         "number + 2 - self.first",
         "session",
@@ -266,8 +266,8 @@
     ),
     Mutant(
         "the core isn't told of a cancel",
-        S + "Sessions._recorded",
-        "if withdraw and query is not None:",
+        S + "Sessions._record_final",
+        "if cancel_query and query is not None:",
         "if False:",
         "session",
         "one ask",
@@ -275,8 +275,8 @@
     ),
     Mutant(
         "unloaded bytes stay on the books",
-        S + "Sessions._unload",
-        "self.held.bytes -= ask.held",
+        S + "Sessions._drop_events",
+        "self.usage.bytes -= ask.log_bytes",
         "pass",
         "session",
         "one ask",
@@ -285,7 +285,7 @@
     Mutant(
         "a forgotten tombstone stays on the books",
         S + "Sessions.forget",
-        "self.held.tombstones -= 1",
+        "self.usage.tombstones -= 1",
         "pass",
         "session",
         "one ask",
@@ -294,7 +294,7 @@
     Mutant(
         "the sweep isn't armed again",
         S + "Sessions.sweep",
-        "if self.by_name:\n        self._sweep_later()",
+        "if self.by_name:\n        self._schedule_sweep()",
         "pass",
         "session",
         "one ask",
@@ -302,8 +302,8 @@
     ),
     Mutant(
         "a full log doesn't hold its link up",
-        S + "Ask._flow",
-        "self.book.upstream.pause(self.query.handle, full)",
+        S + "Ask._set_full",
+        "self.sessions.upstream.pause(self.query.handle, full)",
         "pass",
         "session",
         "slow readers",
--- a/pearstall/models/session.py
+++ b/pearstall/models/session.py
@@ -13,7 +13,7 @@
 
 from pearstall.edge.keeping import Bounds
 from pearstall.edge.records import Final, Problem
-from pearstall.edge.sessions import Ask, Sessions, Tomb
+from pearstall.edge.sessions import Ask, Sessions, Tombstone
 from pearstall.edge.states import HELD, RUNNING
 from pearstall.edge.states import State as At
 from pearstall.models.attempt import Clock
@@ -146,7 +146,7 @@
         if final.kind == "served" and self.holds.get(id, 0) != final.number - 1:
             self.found.append(f"nothing-lost: {id} ends with {final.number} and {self.holds.get(id, 0)} are held")
 
-    def _ask(self, id: str) -> Ask | Tomb | None:
+    def _ask(self, id: str) -> Ask | Tombstone | None:
         session = self.sessions.find("d", "t")
         return session.find(id) if session is not None else None
 
@@ -197,7 +197,7 @@
                 **{name: getattr(BOUNDS, name) for name in BOUNDS.__struct_fields__}
                 | {"all_bytes": 0, "tombstones": 0}
             )
-            self.sessions.make_room()
+            self.sessions.enforce_bounds()
             self.sessions.bounds = BOUNDS
         elif kind in ("attach", "attach-anew", "detach", "slow", "fast"):
             self._of_reader(kind, *rest.split(" "))
@@ -323,7 +323,7 @@
             self.evicts,
             session is not None,
             tuple(round(now - one.since, 3) for one in sessions.ended_away),
-            tuple(round(now - (session.tombs or {})[id].since, 3) for session, id in sessions.graves),
+            tuple(round(now - (session.tombstones or {})[id].since, 3) for session, id in sessions.tombstones_by_age),
         )
 
     def breaches(self) -> list[str]:
@@ -369,15 +369,15 @@
     def _books(self) -> list[str]:
         sessions, out = self.sessions, []
         asks = [ask for one in sessions for ask in (one.asks or {}).values()]
-        held = sessions.held
+        held = sessions.usage
         for what, said, true in (
             ("bytes", held.bytes, sum(len(event) for ask in asks for event in ask.events)),
             ("running", sessions.running, sum(ask.state in RUNNING for ask in asks)),
             ("running away", held.running_away, sum(ask.state == At.RUNNING_AWAY for ask in asks)),
             ("ended away", held.ended_away, sum(ask.state == At.ENDED_AWAY for ask in asks)),
-            ("tombstones", held.tombstones, sum(len(one.tombs or ()) for one in sessions)),
+            ("tombstones", held.tombstones, sum(len(one.tombstones or ()) for one in sessions)),
             ("pools", len(sessions.running_away) + len(sessions.ended_away), held.running_away + held.ended_away),
-            ("graves", len(sessions.graves), held.tombstones),
+            ("graves", len(sessions.tombstones_by_age), held.tombstones),
             ("open queries", len(self.core.open), sessions.running),
         ):
             if said != true:
@@ -405,7 +405,7 @@
             "sessions": len(self.sessions.by_name),
             "queries": len(self.core.open),
             "timers": len(self.sessions.deadlines),
-            "graves": len(self.sessions.graves),
+            "graves": len(self.sessions.tombstones_by_age),
         }
         left = {name: count for name, count in held.items() if count}
         return [f"freed: {left}"] if left else []
--- a/tests/edge_support.py
+++ b/tests/edge_support.py
@@ -1,4 +1,4 @@
-"""The real core and Router under the edge, between scripted servers and wireless devices, on a clock that jumps."""
+"""The edge on the real core and Router, between scripted servers and scripted devices, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -43,37 +43,37 @@
 
 
 class Reader:
-    """A connection: takes all there is, unless it is held up."""
+    """A connection that takes every record at once, unless it is slow."""
 
     def __init__(self, slow: bool = False) -> None:
         self.slow = slow
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
         self.final: Final | None = None
         self.at: int | None = None
-        self.lost = False
+        self.was_superseded = False
 
     def attached(self, ask: Ask, last: int) -> None:
         self.at = last
         self.ready(ask)
 
     def ready(self, ask: Ask) -> None:
-        if self.at is None or self.slow or self.lost:
+        if self.at is None or self.slow or self.was_superseded:
             return
         while events := ask.after(self.at, 64):
-            self.got += events
+            self.received += events
             self.at += len(events)
         if ask.final is not None and self.at == ask.final.number - 1:
             self.at, self.final = ask.final.number, ask.final
 
     def superseded(self, ask: Ask) -> None:
-        self.lost = True
+        self.was_superseded = True
 
 
 class Scene:
     def __init__(self, bounds: Bounds | None = None, limits: Limits = OPEN, seed: int = 7) -> None:
         self.clock, self.counters = Clock(), Counters()
-        self.out: list[Execution] = []
-        self.most_out: dict[int, int] = {}
+        self.executions: list[Execution] = []
+        self.max_in_flight: dict[int, int] = {}
         rules = settings(late_worth=0.5, max_attempts=3, tick=1000)
         self.core = Core(rules, seed, Deadlines(self.clock), self.counters, self)
         self.core.start()
@@ -88,10 +88,10 @@
         self.sessions = self.edge.sessions
 
     def start(self, execution: Execution) -> Carrier:
-        out = sum(1 for one in execution.query.executions if not one.ended)
+        in_flight = sum(1 for one in execution.query.executions if not one.ended)
         handle = id(execution.query)
-        self.most_out[handle] = max(self.most_out.get(handle, 0), out)
-        self.out.append(execution)
+        self.max_in_flight[handle] = max(self.max_in_flight.get(handle, 0), in_flight)
+        self.executions.append(execution)
         return Carrier()
 
     # -- devices -------------------------------------------------------------------------------------------
@@ -100,7 +100,7 @@
             text: str = "hi") -> Ask | Problem:  # fmt: skip
         return self.edge.ask(Device(device, "shop"), id, "", body(text), reader, last, 5.0)
 
-    def held(self, id: str = "a", device: str = "d") -> Ask:
+    def find_ask(self, id: str = "a", device: str = "d") -> Ask:
         found = self.edge.find(Device(device, "shop"), id)
         assert isinstance(found, Ask), found
         return found
@@ -114,11 +114,11 @@
     # -- servers -------------------------------------------------------------------------------------------
 
     def running(self, id: str = "a", device: str = "d") -> list[Execution]:
-        """The execution that is out for an ask, if any."""
-        return [one for one in self.out if not one.ended and one.query.txn == f"{device}.{id}"]
+        """The attempt in flight for an ask, if any."""
+        return [one for one in self.executions if not one.ended and one.query.txn == f"{device}.{id}"]
 
     def events(self, *numbers: int, id: str = "a", device: str = "d") -> None:
-        for _ in range(40):  # the Router may be waiting before it sends again
+        for _ in range(40):  # the Router may wait before it sends again
             if self.running(id, device):
                 break
             self.clock.move(0.05)
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -1,4 +1,4 @@
-"""The edge's parts without I/O: tokens, limits and the storm gate, keep-alive, messages."""
+"""The edge's parts that do no I/O: tokens, limits and the storm gate, keep-alive, messages."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from pearstall.edge.frames import CODECS, Ack, AskFor, Cancel, Events, Hello, Ping, Position, Resume
-from pearstall.edge.keepalive import KeepAlive, Pulse
+from pearstall.edge.keepalive import KeepAlive, KeepAliveMonitor
 from pearstall.edge.limits import Admission, Gate, Limits, gcra
 from pearstall.edge.records import Problem
 from pearstall.edge.sessions import Ask
@@ -28,7 +28,7 @@
     token = mint(KEY, "phone-1", 2000, epoch=4)
     assert RING.verify(token, NOW) == Device("phone-1", "shop", 4, 2000.0)
     assert RING.verify(token, 2000.0) is None
-    assert RING.verify(mint(RING.keys["old"], "phone-1", 2000), NOW) is None  # the key has run out
+    assert RING.verify(mint(RING.keys["old"], "phone-1", 2000), NOW) is None  # the key has expired
     assert RING.verify(mint(KEY, "stolen", 2000, 2), NOW) is None
     assert RING.verify(mint(KEY, "stolen", 2000, 3), NOW) is not None
     with pytest.raises(ValueError, match="device"):
@@ -41,10 +41,10 @@
     token = mint(KEY, "phone-1", 2000)
     at %= len(token)
     other = mint(Key("k1", SECRET[::-1], "shop"), "phone-1", 2000)
-    spoilt = [
+    altered = [
         token[:at], token[:at] + character + token[at + 1 :], token + character, token[: at + 1] + other[at + 1 :],
     ][how]  # fmt: skip
-    assert spoilt == token or RING.verify(spoilt, NOW) is None
+    assert altered == token or RING.verify(altered, NOW) is None
 
 
 def test_another_devices_token_with_its_name_swapped_is_denied_and_secrets_are_not_shown() -> None:
@@ -54,7 +54,7 @@
     assert decode_secret(encode_secret(SECRET)) == SECRET
     assert encode_secret(SECRET) not in repr(RING) and repr(SECRET) not in repr(RING) + repr(KEY)
     for bad in ("", "short", "!" * 43, "é" * 43):
-        with pytest.raises(ValueError, match="wanted"):
+        with pytest.raises(ValueError, match="expected"):
             decode_secret(bad)
 
 
@@ -66,7 +66,7 @@
         now += gap
         tat, wait = gcra(tat, now, rate, burst)
         if wait:
-            later, none = gcra(tat, now + wait, rate, burst)  # the advice is good: it may pass then
+            later, none = gcra(tat, now + wait, rate, burst)  # the retry advice is right: it may pass then
             assert none == 0 and later > tat
         else:
             passed.append(now)
@@ -76,7 +76,7 @@
 
 
 def storm(limits: Limits, devices: int, resuming: int, seed: int) -> tuple[list[float], list[float], int]:
-    """When each device of a storm is let in, in virtual time, if it returns when it was told to."""
+    """When each device of a storm is let in, in virtual time, if it follows the retry advice."""
     gate, random = Gate(limits, Random(seed)), Random(seed + 1)
     coming = sorted((random.random(), n, n < resuming) for n in range(devices))
     done: tuple[list[float], list[float]] = ([], [])
@@ -99,18 +99,18 @@
     resumed, asked, turns = storm(limits, 2000, 1500, 3)
     assert (len(resumed), len(asked)) == (1500, 500)
     everyone = sorted(resumed + asked)
-    for n, start in enumerate(everyone[:-250]):  # never above the rate and its burst, in any window
+    for n, start in enumerate(everyone[:-250]):  # in no window above the rate and its burst
         assert everyone[n + 250] - start >= 250 / 200 - 100 / 200 - 0.02
-    assert max(everyone) < 2000 / 200 * 2 and turns < 3 * 2000  # soon over, and few are sent off twice
+    assert max(everyone) < 2000 / 200 * 2 and turns < 3 * 2000  # it ends soon, and few devices are turned away twice
     middle = sorted(resumed)[750]
     assert sum(at < middle for at in asked) < 0.1 * len(asked)
 
 
 def test_limits_charge_nothing_to_an_ask_that_does_not_begin() -> None:
     scene = Scene(limits=Limits(device_rate=20, device_burst=2, device_running=2, tenant_running=3, arrivals=0))
-    told = [scene.ask(id) for id in "abc"]
-    assert [isinstance(one, Ask) for one in told] == [True, True, False]
-    assert isinstance(told[2], Problem) and told[2].code == "device_concurrency"
+    results = [scene.ask(id) for id in "abc"]
+    assert [isinstance(one, Ask) for one in results] == [True, True, False]
+    assert isinstance(results[2], Problem) and results[2].code == "device_concurrency"
     scene.events(1)
     scene.end()
     limited = scene.ask("c")
@@ -118,12 +118,12 @@
     scene.clock.move(limited.retry_after)
     assert isinstance(scene.ask("c"), Ask)
     assert isinstance(scene.ask("a", device="d2"), Ask)
-    crowd = scene.ask("a", device="d3")
-    assert isinstance(crowd, Problem) and crowd.code == "tenant_concurrency"
+    refused = scene.ask("a", device="d3")
+    assert isinstance(refused, Problem) and refused.code == "tenant_concurrency"
 
 
 def test_tenants_buckets_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("pearstall.edge.limits.MOST_TENANTS", 4)
+    monkeypatch.setattr("pearstall.edge.limits.MAX_TENANT_BUCKETS", 4)
     scene = Scene()
     admission = Admission(Limits(tenant_rate=10, device_rate=0, arrivals=0), Random(1))
     for number in range(40):
@@ -135,17 +135,17 @@
 
 def test_keep_alive_follows_the_link_within_its_bounds() -> None:
     settings = KeepAlive(least=1, most=30, trips=60, patience=4)
-    fast, slow = Pulse(settings, 0.0), Pulse(settings, 0.0)
+    fast, slow = KeepAliveMonitor(settings, 0.0), KeepAliveMonitor(settings, 0.0)
     for now in range(20):
-        for pulse, trip in ((fast, 0.005), (slow, 0.4)):
-            pulse.ask(float(now))
-            pulse.answered(now + trip)
-    assert fast.interval == 1 and 20 < slow.interval <= 30 and slow.patience > fast.patience
-    assert fast.due(20.5)[0] == "ask"
-    fast.ask(20.5)
-    assert fast.due(21.0)[0] == "wait" and fast.due(21.6)[0] == "dead"
-    fast.came(21.55)  # anything that comes shows that it lives
-    assert fast.due(21.6)[0] == "wait"
+        for monitor, trip in ((fast, 0.005), (slow, 0.4)):
+            monitor.ping(float(now))
+            monitor.pong_received(now + trip)
+    assert fast.interval == 1 and 20 < slow.interval <= 30 and slow.answer_timeout > fast.answer_timeout
+    assert fast.next_action(20.5)[0] == "ping"
+    fast.ping(20.5)
+    assert fast.next_action(21.0)[0] == "wait" and fast.next_action(21.6)[0] == "dead"
+    fast.received(21.55)  # any data received shows that the connection is alive
+    assert fast.next_action(21.6)[0] == "wait"
 
 
 @pytest.mark.parametrize("name", list(CODECS))
@@ -170,5 +170,5 @@
         with pytest.raises(msgspec.DecodeError):
             codec.decode(bad)
     for events in ([b"data: x\n\n", "data: é\n\n".encode()], [b"data: \xff\n\n"]):
-        told = codec.read(codec.events("a", 4, events))
-        assert isinstance(told, Events) and (told.first, told.events) == (4, events)
+        decoded = codec.read(codec.events("a", 4, events))
+        assert isinstance(decoded, Events) and (decoded.first, decoded.events) == (4, events)
--- a/tests/test_edge_sessions.py
+++ b/tests/test_edge_sessions.py
@@ -1,4 +1,4 @@
-"""Device sessions on the real core and Router, in virtual time: the hard cases, and a rule machine over all of it."""
+"""Device sessions on the real core and Router, in virtual time: edge cases, and a stateful property test."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from pearstall.edge.keeping import Bounds, GiveWay, Holdings, next_to_go
+from pearstall.edge.keeping import Bounds, Usage, Victim, next_victim
 from pearstall.edge.records import Final, Kind, Problem, split_events
-from pearstall.edge.sessions import Ask, Tomb
+from pearstall.edge.sessions import Ask, Tombstone
 from pearstall.edge.states import ENDED, HELD, RUNNING, TABLE, Effect, Input, State
 from pearstall.edge.tokens import Device
 from pearstall.net.core import Blamed, End, Served
@@ -18,8 +18,8 @@
 STAGES = ("before the first event", "in mid-stream", "between last event and final record", "during a retry")
 
 
-def test_every_move_keeps_the_rules_of_the_table() -> None:
-    """A final record is written by each move out of running and by no other; only tombstones are forgotten."""
+def test_every_transition_obeys_the_rules() -> None:
+    """Exactly the transitions out of running create a final record, and only tombstones are forgotten."""
     for (before, _), (after, effects) in TABLE.items():
         assert (Effect.RECORD in effects) == (before in RUNNING and after not in RUNNING)
         assert (Effect.FORGET in effects) == (after == State.FORGOTTEN)
@@ -31,7 +31,7 @@
     while more := {after for (before, _), (after, _) in TABLE.items() if before in reached} - reached:
         reached |= more
     assert reached == set(State)
-    for state in State:  # whatever a device does meets a move, in every state it can know of
+    for state in State:  # every state that a device can see has a transition for whatever it does
         assert state == State.FORGOTTEN or {(state, Input.ATTACH), (state, Input.CANCEL)} <= TABLE.keys()
         assert state not in HELD or (state, Input.DETACH) in TABLE
 
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("stage", STAGES)
 @pytest.mark.parametrize("half_open", [False, True])
 def test_a_device_back_elsewhere_gets_the_whole_answer_once(stage: str, half_open: bool) -> None:
-    """While its execution is out. Half open: the old connection was never lost, and takes nothing any more."""
+    """With an attempt in flight. Half open: the old connection was not closed, but takes no more records."""
     scene, old, new = Scene(), Reader(), Reader()
     ask = scene.ask(reader=old)
     assert isinstance(ask, Ask)
@@ -49,7 +49,7 @@
         scene.events(1, 2, 3)
         if stage.startswith("between"):
             scene.events(4, 5)
-    held = list(old.got)
+    received = list(old.received)
     if half_open:
         old.slow = True
     else:
@@ -57,24 +57,24 @@
         scene.clock.move(0.1)
         if stage.startswith("between"):
             scene.end()
-    assert scene.attach(new, len(held)) is ask
-    assert old.lost == half_open
+    assert scene.attach(new, len(received)) is ask
+    assert old.was_superseded == half_open
     if not stage.startswith("between") or half_open:
         if not stage.startswith("between"):
-            scene.events(*range(len(held) + 1, 6))
+            scene.events(*range(len(received) + 1, 6))
         scene.end()
-    assert held + new.got == [event(n) for n in range(1, 6)]
+    assert received + new.received == [event(n) for n in range(1, 6)]
     assert new.final == Final(6, Kind.SERVED) and old.final is None
-    assert len(scene.finals()) == 1 and max(scene.most_out.values()) == 1
-    assert len(scene.out) <= 3 and (stage != "during a retry" or len(scene.out) >= 2)
-    # The superseded one can't acknowledge, the owner can, and what is left is a tombstone.
+    assert len(scene.finals()) == 1 and max(scene.max_in_flight.values()) == 1
+    assert len(scene.executions) <= 3 and (stage != "during a retry" or len(scene.executions) >= 2)
+    # The superseded connection can't acknowledge, the owner can, and a tombstone remains.
     device = Device("d", "shop")
     refused = scene.edge.acknowledge(device, "a", 6, old)
     assert isinstance(refused, Problem) and refused.code == "superseded"
     assert scene.edge.acknowledge(device, "a", 6, new) == new.final
-    assert isinstance(scene.edge.find(device, "a"), Tomb) and not scene.sessions.held.bytes
+    assert isinstance(scene.edge.find(device, "a"), Tombstone) and not scene.sessions.usage.bytes
     assert scene.edge.acknowledge(device, "a", 6, new) == new.final  # an acknowledgement sent twice
-    again = scene.ask(reader=Reader())  # a duplicate of the ask, much delayed
+    again = scene.ask(reader=Reader())  # a duplicate of the ask that arrives much later
     assert isinstance(again, Problem) and again.final == new.final and scene.counters.queries == 1
     assert not len(scene.core.queries)
 
@@ -82,24 +82,24 @@
 def test_one_id_is_one_query_however_often_it_is_sent_and_another_body_is_an_error() -> None:
     scene, first, second = Scene(), Reader(), Reader()
     ask = scene.ask(reader=first)
-    assert scene.ask(reader=second) is ask and first.lost
+    assert scene.ask(reader=second) is ask and first.was_superseded
     other = scene.ask(text="another")
     assert isinstance(other, Problem) and other.code == "ask_id_reused" and scene.counters.queries == 1
     scene.events(1)
     scene.end()
-    assert second.got == [event(1)] and not first.got
+    assert second.received == [event(1)] and not first.received
 
 
 @pytest.mark.parametrize("last", [3, 99])
-def test_positions_never_sent_and_events_given_up_are_told_apart(last: int) -> None:
+def test_unknown_positions_and_discarded_events_are_distinguished(last: int) -> None:
     scene, reader = Scene(), Reader()
     scene.ask(reader=reader)
     scene.events(1, 2)
     beyond = scene.attach(Reader(), last)
-    assert isinstance(beyond, Problem) and beyond.code == "bad_position" and not reader.lost
+    assert isinstance(beyond, Problem) and beyond.code == "bad_position" and not reader.was_superseded
     scene.edge.acknowledge(Device("d", "shop"), "a", 2, reader)
     behind = scene.attach(Reader(), 1)
-    assert isinstance(behind, Problem) and behind.code == "events_gone" and not reader.lost
+    assert isinstance(behind, Problem) and behind.code == "events_gone" and not reader.was_superseded
     assert isinstance(scene.attach(Reader(), 0, id="none"), Problem)
 
 
@@ -110,14 +110,14 @@
     scene.events(1)
     scene.end()
     ask.detach(old)
-    assert scene.attach(new, 1) is ask and new.final == old.final and not new.got
+    assert scene.attach(new, 1) is ask and new.final == old.final and not new.received
     ask.detach(new)
-    done = scene.attach(Reader(), 2)  # it names the final record as the last that it holds
+    done = scene.attach(Reader(), 2)  # the device states that it already holds the final record
     assert isinstance(done, Problem) and (done.code, done.final) == ("acknowledged", new.final)
     assert not scene.sessions.unfinished() and len(scene.finals()) == 1
 
 
-def test_a_device_gone_for_linger_finds_the_record_that_says_so() -> None:
+def test_a_device_that_returns_after_linger_gets_a_cut_record() -> None:
     scene, late = Scene(Bounds(linger=2.0)), Reader()
     ask = scene.ask(reader=(reader := Reader()))
     assert isinstance(ask, Ask)
@@ -126,7 +126,7 @@
     scene.clock.move(1.9)
     assert scene.running()
     scene.clock.move(0.2)
-    assert scene.counters.clients_gone == 1 and not scene.running()  # now the Router was told
+    assert scene.counters.clients_gone == 1 and not scene.running()  # now the Router has been notified
     scene.clock.move(0.1)
     assert scene.attach(late, 2) is ask and late.final == Final(3, Kind.CUT, "away")
 
@@ -139,9 +139,9 @@
     (execution,) = scene.running()
     carrier = execution.carrier
     assert isinstance(carrier, Carrier) and carrier.paused
-    ask.detach(reader)  # away as well: the one timer goes on
+    ask.detach(reader)  # away as well as full: the same timer keeps running
     scene.clock.move(1.0)
-    assert scene.attach(reader, 4) is ask and not carrier.paused  # naming the last it holds makes room
+    assert scene.attach(reader, 4) is ask and not carrier.paused  # the position that it states releases events
     scene.clock.move(1.5)
     scene.events(5, 6, 7, 8)
     assert carrier.paused and ask.state == State.RUNNING_HELD
@@ -149,7 +149,7 @@
     assert reader.final == Final(9, Kind.CUT, "log_full") and carrier.given_up
 
 
-def test_a_cancel_that_crosses_the_final_record_is_told_the_one_that_stands() -> None:
+def test_a_cancel_after_the_final_record_returns_that_record() -> None:
     scene, device = Scene(), Device("d", "shop")
     scene.ask("a", reader=(first := Reader()))
     scene.ask("b", reader=(second := Reader()))
@@ -164,7 +164,7 @@
     assert len(scene.finals()) == len(scene.finals("b")) == 1
 
 
-def test_every_end_of_a_query_is_its_record() -> None:
+def test_every_outcome_of_a_query_yields_its_final_record() -> None:
     scene = Scene()
     for id, end, kind in (("x", BREAK, "cut"), ("y", Blamed(404, b"{}", "t"), "blamed"), ("z", Served(), "served")):
         scene.ask(id)
@@ -173,18 +173,18 @@
         scene.end(end, id=id)
         assert [row["kind"] for row in scene.finals(id)] == [kind]
     scene.ask("late")
-    scene.clock.move(5.2)  # nobody answers: the Router or the guard ends it by its deadline
+    scene.clock.move(5.2)  # no server answers: the Router or the core ends it at its deadline
     assert scene.finals("late")[0]["kind"] in ("failed", "refused")
     assert scene.edge.find(Device("d", "shop"), "late") is not None
 
 
-def test_what_gives_way_goes_in_the_written_order() -> None:
+def test_eviction_follows_the_documented_order() -> None:
     bounds = Bounds(all_bytes=100, tombstones=2)
-    assert next_to_go(Holdings(), bounds) is None
-    assert next_to_go(Holdings(101, 1, 3, 1, 1), bounds) == GiveWay.TOMBSTONE
-    assert next_to_go(Holdings(101, 1, 2, 1, 1), bounds) == GiveWay.ENDED_AWAY
-    assert next_to_go(Holdings(101, 1, 2, 0, 1), bounds) == GiveWay.RUNNING_AWAY
-    assert next_to_go(Holdings(101, 1, 2, 0, 0), bounds) == GiveWay.NOTHING
+    assert next_victim(Usage(), bounds) is None
+    assert next_victim(Usage(101, 1, 3, 1, 1), bounds) == Victim.TOMBSTONE
+    assert next_victim(Usage(101, 1, 2, 1, 1), bounds) == Victim.ENDED_AWAY
+    assert next_victim(Usage(101, 1, 2, 0, 1), bounds) == Victim.RUNNING_AWAY
+    assert next_victim(Usage(101, 1, 2, 0, 0), bounds) == Victim.NOTHING
 
 
 def test_nothing_evicted_disappears_without_a_final_record() -> None:
@@ -197,18 +197,18 @@
     scene.events(*range(1, 6), id="held")
     device = Device("d", "shop")
     ended = scene.edge.find(device, "ended")
-    assert isinstance(ended, Tomb) and ended.final == Final(3, Kind.SERVED)
-    assert scene.held("running").state == State.RUNNING_AWAY
+    assert isinstance(ended, Tombstone) and ended.final == Final(3, Kind.SERVED)
+    assert scene.find_ask("running").state == State.RUNNING_AWAY
     scene.events(6, id="held")
-    assert scene.held("running").final == Final(3, Kind.CUT, "room") and not scene.running("running")
-    assert scene.held("held").state == State.RUNNING_HELD
+    assert scene.find_ask("running").final == Final(3, Kind.CUT, "room") and not scene.running("running")
+    assert scene.find_ask("held").state == State.RUNNING_HELD
     reader = Reader()
     lost = scene.attach(reader, 0, "running")
     assert isinstance(lost, Problem) and lost.code == "events_gone" and lost.final == Final(3, Kind.CUT, "room")
 
 
-def test_all_that_is_kept_is_let_go_in_time() -> None:
-    """Sessions, ended asks and tombstones alike: an hour later, nothing is left of any."""
+def test_everything_stored_expires() -> None:
+    """An hour later, no session, ended ask or tombstone remains."""
     scene = Scene(Bounds(keep=60, remember=120, idle=600))
     for number in range(50):
         scene.ask("a", device=f"d{number}")
@@ -218,10 +218,10 @@
     scene.clock.move(30)
     assert len(scene.sessions.by_name) == 50 and not scene.sessions.running
     scene.clock.move(3600)
-    assert not scene.sessions.by_name and not scene.sessions.graves and scene.sessions.held == Holdings()
+    assert not scene.sessions.by_name and not scene.sessions.tombstones_by_age and scene.sessions.usage == Usage()
 
 
-def test_the_bound_on_sessions_lets_idle_ones_go_and_refuses_past_it() -> None:
+def test_the_bound_on_sessions_evicts_idle_ones_and_refuses_more() -> None:
     scene = Scene(Bounds(sessions=3))
     for number in range(3):
         scene.ask("a", device=f"d{number}")
@@ -229,18 +229,18 @@
     assert isinstance(full, Problem) and full.code == "full" and full.retry_after
     scene.events(1, device="d1")
     scene.end(device="d1")
-    ask = scene.held(device="d1")
+    ask = scene.find_ask(device="d1")
     ask.attach(reader := Reader(), 0)
     scene.edge.acknowledge(Device("d1", "shop"), "a", 2, reader)
     assert isinstance(scene.ask("a", device="d9"), Ask)
     assert scene.sessions.find("d1", "shop") is None
 
 
-def test_a_body_that_cannot_be_read_leaves_nothing_behind() -> None:
+def test_an_invalid_body_leaves_no_state() -> None:
     scene = Scene()
     for bad in (b"[]", b"{", b'{"model":"toy"}'):
-        told = scene.edge.ask(Device("d", "shop"), "a", "", bad, None)
-        assert isinstance(told, Problem) and told.code == "bad_ask"
+        problem = scene.edge.ask(Device("d", "shop"), "a", "", bad, None)
+        assert isinstance(problem, Problem) and problem.code == "bad_ask"
     assert not scene.sessions.unfinished() and not scene.sessions.running
     assert isinstance(scene.ask("a"), Ask)  # the id is still free
 
@@ -250,10 +250,10 @@
     scene.ask("a")
     scene.events(1)
     scene.edge.leave()
-    told = scene.ask("b")
-    assert isinstance(told, Problem) and told.code == "leaving"
+    problem = scene.ask("b")
+    assert isinstance(problem, Problem) and problem.code == "leaving"
     scene.end()
-    assert not scene.edge.settled  # its device is away, and has some time to come
+    assert not scene.edge.settled  # its device is away and still has time to return
     ask = scene.attach(reader, 0)
     assert isinstance(ask, Ask) and reader.final is not None
     scene.edge.acknowledge(Device("d", "shop"), "a", 2, reader)
@@ -273,17 +273,17 @@
 def test_events_are_split_without_changing_a_byte(end: bytes) -> None:
     events = [b"data: a" + end, b": c" + end, b"event: x\ndata: b" + end]
     assert split_events(b"".join(events)) == events
-    odd = b"data: a\n\n\ndata: b\n\n"  # an empty line too many
+    odd = b"data: a\n\n\ndata: b\n\n"  # an extra empty line
     assert b"".join(split_events(odd)) == odd
 
 
 class Devices(RuleBasedStateMachine):
-    """Two devices, three asks each, any order of what they, the servers and time may do."""
+    """Two devices with three asks each, under any sequence of actions of devices, servers and time."""
 
     def __init__(self) -> None:
         super().__init__()
         self.scene = Scene(Bounds(linger=1.0, keep=5.0, remember=10.0, ask_events=6, all_bytes=400, device_asks=2))
-        self.holds: dict[tuple[str, str], list[bytes]] = {}
+        self.received: dict[tuple[str, str], list[bytes]] = {}
         self.finals: dict[tuple[str, str], set[Final]] = {}
         self.readers: dict[tuple[str, str], Reader] = {}
         self.made: dict[str, int] = {}
@@ -291,9 +291,9 @@
     devices, ids = st.sampled_from(["d1", "d2"]), st.sampled_from(["a", "b", "c"])
 
     def _take(self, key: tuple[str, str], reader: Reader, last: int) -> None:
-        held = self.holds.setdefault(key, [])
-        del held[last:]
-        held += reader.got
+        received = self.received.setdefault(key, [])
+        del received[last:]
+        received += reader.received
         if reader.final is not None:
             self.finals.setdefault(key, set()).add(reader.final)
 
@@ -301,7 +301,7 @@
     def connect(self, device: str, id: str, slow: bool, resend: bool) -> None:
         key, reader = (device, id), Reader(slow)
         self.settle(key)
-        last = len(self.holds.get(key, ()))
+        last = len(self.received.get(key, ()))
         known = isinstance(self.scene.edge.find(Device(device, "shop"), id), Ask)
         if resend or not known:
             got = self.scene.ask(id, device, reader, last if known else 0)
@@ -309,7 +309,7 @@
             got = self.scene.attach(reader, last, id, device)
         if isinstance(got, Ask):
             if not known:
-                self.holds[key], self.finals[key], last = [], set(), 0
+                self.received[key], self.finals[key], last = [], set(), 0
             self.readers[key] = reader
             reader.start = last  # type: ignore[attr-defined]
 
@@ -363,15 +363,19 @@
                 reader.ready(found)
 
     @invariant()
-    def books_agree(self) -> None:
+    def accounting_agrees(self) -> None:
         sessions, core = self.scene.sessions, self.scene.core
         asks = [ask for session in sessions for ask in (session.asks or {}).values()]
-        assert sessions.held.bytes == sum(sum(map(len, ask.events)) for ask in asks)
-        assert sessions.held.bytes == sum(ask.held for ask in asks)
+        assert sessions.usage.bytes == sum(sum(map(len, ask.events)) for ask in asks)
+        assert sessions.usage.bytes == sum(ask.log_bytes for ask in asks)
         assert sessions.running == sum(ask.state in RUNNING for ask in asks) == sum(s.running for s in sessions)
-        assert sessions.held.running_away == len(sessions.running_away)
-        assert sessions.held.ended_away == len(sessions.ended_away)
-        assert sessions.held.tombstones == len(sessions.graves) == sum(len(s.tombs or ()) for s in sessions)
+        assert sessions.usage.running_away == len(sessions.running_away)
+        assert sessions.usage.ended_away == len(sessions.ended_away)
+        assert (
+            sessions.usage.tombstones
+            == len(sessions.tombstones_by_age)
+            == sum(len(s.tombstones or ()) for s in sessions)
+        )
         assert sum(1 for query in core.queries if not query.finished) == sessions.running
         for ask in asks:
             assert (ask.owner is not None) == (ask.state in HELD)
@@ -380,9 +384,9 @@
 
     @invariant()
     def rules_hold(self) -> None:
-        assert max(self.scene.most_out.values(), default=0) <= 1
+        assert max(self.scene.max_in_flight.values(), default=0) <= 1
         counts: dict[int, int] = {}
-        for one in self.scene.out:
+        for one in self.scene.executions:
             counts[id(one.query)] = counts.get(id(one.query), 0) + 1
         assert max(counts.values(), default=0) <= 3
         assert self.scene.counters.exceptions == 0
@@ -394,9 +398,9 @@
         for key, reader in self.readers.items():
             if reader.at is not None:
                 start = reader.start  # type: ignore[attr-defined]
-                assert reader.got == [event(n) for n in range(start + 1, start + len(reader.got) + 1)], key
-        for held in self.holds.values():
-            assert held == [event(n) for n in range(1, len(held) + 1)]
+                assert reader.received == [event(n) for n in range(start + 1, start + len(reader.received) + 1)], key
+        for received in self.received.values():
+            assert received == [event(n) for n in range(1, len(received) + 1)]
 
 
 TestDevices = Devices.TestCase
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 import pytest
 
 from pearstall.cli.main import main
-from pearstall.edge.client import Held
+from pearstall.edge.client import DeviceAsk
 from pearstall.edge.records import Final, Kind
 from pearstall.lab.ledger import Ledger
 from pearstall.lab.poor_links import run
@@ -21,12 +21,12 @@
 WHOLE = answer("d.a", 1, Random(1), Behaviour())
 
 
-def ledger() -> tuple[Ledger, Held, Execution]:
+def ledger() -> tuple[Ledger, DeviceAsk, Execution]:
     """One ask that went as it should."""
     books = Books()
     made = Execution("d.a", 0, "serve", 1.0, 2.0, list(WHOLE), True)
     books.by_txn["d.a"] = [made]
-    out, held = Ledger(books), Held("a", {})
+    out, held = Ledger(books), DeviceAsk("a", {})
     held.take(1, list(WHOLE), 1.5)
     held.end(Final(len(WHOLE) + 1, Kind.SERVED))
     out.asked("d", held)
