--- a/pearstall/cli/__init__.py
+++ b/pearstall/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Sub-commands: nothing but arguments, output and exit codes."""
+"""The sub-commands: arguments, output and exit codes only."""
--- a/pearstall/cli/check.py
+++ b/pearstall/cli/check.py
@@ -1,4 +1,4 @@
-"""`pearstall check`: every problem of every file, not only the first."""
+"""`pearstall check`: reports every problem of the given files, not only the first."""
 
 from __future__ import annotations
 
@@ -8,60 +8,65 @@
 
 import msgspec
 
-from pearstall.config.kdl import Place, Trouble, Unreadable
+from pearstall.config.kdl import Diagnostic, DocumentError, Place
 from pearstall.config.operators import read_operators
 from pearstall.net.config import ConfigError, Names, RawConfig, read_config
 from pearstall.net.inventory import HostList, read_inventory
 
 
 @dataclass(slots=True)
-class Found:
-    problems: list[Trouble] = field(default_factory=list)
-    warnings: list[Trouble] = field(default_factory=list)
-    said: list[str] = field(default_factory=list)
+class CheckReport:
+    """The outcome of a check. `summaries` has one line for each valid file."""
+
+    problems: list[Diagnostic] = field(default_factory=list)
+    warnings: list[Diagnostic] = field(default_factory=list)
+    summaries: list[str] = field(default_factory=list)
 
     def as_dict(self) -> dict[str, Any]:
-        def row(one: Trouble) -> dict[str, Any]:
-            return {"file": one.path, "line": one.place.line, "column": one.place.column, "what": one.what}
+        def row(diagnostic: Diagnostic) -> dict[str, Any]:
+            return {"file": diagnostic.path, "line": diagnostic.place.line, "column": diagnostic.place.column,
+                    "what": diagnostic.message}  # fmt: skip
 
         return {
-            "ok": not self.problems, "problems": [row(one) for one in self.problems],
-            "warnings": [row(one) for one in self.warnings], "said": self.said,
+            "ok": not self.problems, "problems": [row(problem) for problem in self.problems],
+            "warnings": [row(warning) for warning in self.warnings], "said": self.summaries,
         }  # fmt: skip
 
 
-def check_files(config: str, operators: str, inventory: str) -> Found:
-    found = Found()
-    names = _config(config, found) if config else None
+def check_files(config: str, operators: str, inventory: str) -> CheckReport:
+    report = CheckReport()
+    names = _config(config, report) if config else None
     if operators:
         try:
-            read = read_operators(operators)
-        except Unreadable as error:
-            found.problems += error.troubles
+            settings = read_operators(operators)
+        except DocumentError as error:
+            report.problems += error.diagnostics
         else:
-            found.warnings += read.warnings
+            report.warnings += settings.warnings
             if names is not None:
-                found.problems += read.check(names)
-            fronts = [name for name, there in (("openai", read.openai), ("edge", read.edge)) if there is not None]
-            found.said.append(f"{operators}: {' and '.join(fronts) or 'no further front'}")
+                report.problems += settings.check(names)
+            fronts = [
+                name for name, front in (("openai", settings.openai), ("edge", settings.edge)) if front is not None
+            ]
+            report.summaries.append(f"{operators}: {' and '.join(fronts) or 'no additional front'}")
     if inventory:
-        _inventory(inventory, found)
-    return found
+        _inventory(inventory, report)
+    return report
 
 
-def _config(path: str, found: Found) -> Names | None:
+def _config(path: str, report: CheckReport) -> Names | None:
     try:
-        # As the platform starts it: discovery may stand in the environment only.
-        made = read_config({"EDGE_DISCOVERY": "127.0.0.1:1", "EDGE_LISTEN": "127.0.0.1:1"}, config=path)
+        # Stands in for the platform's environment, which alone may name discovery and the listening address.
+        config = read_config({"EDGE_DISCOVERY": "127.0.0.1:1", "EDGE_LISTEN": "127.0.0.1:1"}, config=path)
     except ConfigError as error:
-        found.problems.append(Trouble(path, _json_place(path, str(error)), str(error)))
+        report.problems.append(Diagnostic(path, _json_place(path, str(error)), str(error)))
         return None
-    found.said.append(f"{path}: {len(made.settings.classes)} classes, {len(made.names.accounts)} tenants")
-    return made.names
+    report.summaries.append(f"{path}: {len(config.settings.classes)} classes, {len(config.names.accounts)} tenants")
+    return config.names
 
 
-def _json_place(path: str, why: str) -> Place:
-    """msgspec names a byte only where the JSON itself is broken."""
+def _json_place(path: str, reason: str) -> Place:
+    """The place of a syntax error; msgspec gives no position for other errors, which are placed at 1:1."""
     place = Place(1, 1)
     try:
         data = Path(path).read_bytes()
@@ -77,13 +82,15 @@
     return place
 
 
-def _inventory(path: str, found: Found) -> None:
-    read = read_inventory(Path(path))
-    if not isinstance(read, HostList):
-        found.problems.append(Trouble(path, Place(1, 1), str(getattr(read, "why", read))))
+def _inventory(path: str, report: CheckReport) -> None:
+    inventory = read_inventory(Path(path))
+    if not isinstance(inventory, HostList):
+        report.problems.append(Diagnostic(path, Place(1, 1), str(getattr(inventory, "why", inventory))))
         return
-    if read.skipped:
-        found.problems.append(Trouble(path, Place(1, 1), f"{read.skipped} entries can't be used"))
-    if not read.hosts:
-        found.problems.append(Trouble(path, Place(1, 1), "no model server is in there"))
-    found.said.append(f"{path}: {len(read.hosts)} model servers")
+    if inventory.skipped:
+        report.problems.append(
+            Diagnostic(path, Place(1, 1), f"{inventory.skipped} entries are invalid and were skipped")
+        )
+    if not inventory.hosts:
+        report.problems.append(Diagnostic(path, Place(1, 1), "the file lists no model server"))
+    report.summaries.append(f"{path}: {len(inventory.hosts)} model servers")
--- a/pearstall/config/__init__.py
+++ b/pearstall/config/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' settings: KDL documents, their schema, and what they mean."""
+"""The operators' settings: KDL parsing, schemas, and conversion into configuration objects."""
--- a/pearstall/config/operators.py
+++ b/pearstall/config/operators.py
@@ -1,4 +1,4 @@
-"""The operators' one settings file, in KDL: the OpenAI-style front, the edge, its limits and keys, and logging."""
+"""Reads the operators' settings file (KDL): OpenAI-style front, edge with its limits and keys, and logging."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 import msgspec
 
-from pearstall.config.kdl import Place, Trouble, Unreadable, read
+from pearstall.config.kdl import Diagnostic, DocumentError, Place, read
 from pearstall.config.schema import (
+    NodeValues,
     Shape,
-    Values,
     address,
     duration,
-    fit,
     flag,
     matching,
-    moment,
     number,
     one_of,
     size,
     text,
+    timestamp,
+    validate,
     whole,
 )
 from pearstall.edge.keepalive import KeepAlive
@@ -34,12 +34,12 @@
 from pearstall.net.config import Names, OpenAIConfig
 
 FORM = one_of("platform", "openai")
-ID = matching(NAME, "1 to 64 letters, digits, - or _")
-ASKS = {
+KEY_ID = matching(NAME, "1 to 64 letters, digits, - or _")
+CLASS_SHAPES = {
     "model": Shape(args=(text,), props={"class": text}, required=frozenset({"class"}), many=True),
     "class": Shape(args=(text,), props={"deadline": duration(0.001, 3600), "linger": duration(0, 3600)}, many=True),
 }
-SETTINGS = {
+SETTINGS_SHAPES = {
     "servers": Shape(
         props={"form": FORM},
         children={"type": Shape(args=(text,), props={"form": FORM}, required=frozenset({"form"}), many=True)},
@@ -51,7 +51,7 @@
         },
         required=frozenset({"listen"}),
         children={
-            **ASKS,
+            **CLASS_SHAPES,
             "models": Shape(more=text),
             "api-key": Shape(args=(text,), props={"tenant": text}, required=frozenset({"tenant"}), many=True,
                              secret=True),
@@ -61,7 +61,7 @@
         props={"listen": address, "enabled": flag, "default-class": text},
         required=frozenset({"listen"}),
         children={
-            **ASKS,
+            **CLASS_SHAPES,
             "keys": Shape(args=(text,)),
             "linger": Shape(args=(duration(0, 3600),)),
             "drain": Shape(args=(duration(0, 3600),)),
@@ -104,25 +104,31 @@
                "flood": number(0, 1e6)}
     ),
 }  # fmt: skip
-KEYS = {
+KEY_FILE_SHAPES = {
     "key": Shape(
-        args=(ID,), props={"secret": text, "tenant": text, "not-after": moment},
+        args=(KEY_ID,), props={"secret": text, "tenant": text, "not-after": timestamp},
         required=frozenset({"secret"}), many=True, secret=True,
     ),
-    "revoke": Shape(args=(ID,), props={"below-epoch": whole(0, 10**9)}, many=True),
+    "revoke": Shape(args=(KEY_ID,), props={"below-epoch": whole(0, 10**9)}, many=True),
 }  # fmt: skip
 
 
 class LogConfig(msgspec.Struct, frozen=True):
-    """`flood`: lines of one kind a second, the rest being counted; 0: no bound."""
+    """Logging settings.
+
+    `flood` limits the lines per second of one event kind; further lines are only counted. 0 sets no limit.
+    """
 
     form: str = "json"
     level: str = "info"
     flood: float = 50.0
 
 
-class Operators(msgspec.Struct):
-    """What the file says. `places`: class name -> where it is used, for a check against the configuration."""
+class OperatorSettings(msgspec.Struct):
+    """The contents of the settings file.
+
+    `classes` lists each class that the file names, with its position, for `check`.
+    """
 
     path: str
     openai: OpenAIConfig | None = None
@@ -130,91 +136,102 @@
     log: LogConfig = LogConfig()
     subset: int = 0
     classes: list[tuple[str, Place]] = []
-    warnings: list[Trouble] = []
+    warnings: list[Diagnostic] = []
 
-    def check(self, names: Names) -> list[Trouble]:
-        """Classes that the configuration doesn't have."""
-        lanes = {lane.name for lane in names.lanes}
-        there = ", ".join(sorted(lanes)) or "none"
+    def check(self, names: Names) -> list[Diagnostic]:
+        """Reports the classes that the configuration does not define."""
+        defined = {lane.name for lane in names.lanes}
+        listed = ", ".join(sorted(defined)) or "none"
         return [
-            Trouble(self.path, place, f"no class is called {name!r}; there is {there}")
+            Diagnostic(self.path, place, f"unknown class {name!r}; defined classes: {listed}")
             for name, place in self.classes
-            if name and name not in lanes
+            if name and name not in defined
         ]
 
 
 def read_keys(path: Path) -> Keyring:
-    """An Unreadable names every trouble; no secret stands in one."""
-    nodes = read(path)
-    troubles: list[Trouble] = []
-    found = fit(KEYS, nodes, str(path), troubles)
+    """The keys of a key file. Raises DocumentError with every problem; its messages never show a secret."""
+    document = read(path)
+    diagnostics: list[Diagnostic] = []
+    nodes_by_name = validate(KEY_FILE_SHAPES, document, str(path), diagnostics)
     ring = Keyring()
-    for one in found.get("key", []):
-        if not one.args or one.args[0] is None or one.props.get("secret") is None:
+    for entry in nodes_by_name.get("key", []):
+        if not entry.args or entry.args[0] is None or entry.props.get("secret") is None:
             continue
-        id = one.args[0]
-        if id in ring.keys:
-            troubles.append(Trouble(str(path), one.node.place, f"key {id!r} stands there twice"))
+        key_id = entry.args[0]
+        if key_id in ring.keys:
+            diagnostics.append(Diagnostic(str(path), entry.node.place, f"key {key_id!r} is defined twice"))
             continue
         try:
-            secret = decode_secret(one.props["secret"])
+            secret = decode_secret(entry.props["secret"])
         except ValueError as error:
-            troubles.append(Trouble(str(path), one.node.place, f"key {id!r}: secret: {error}"))
+            diagnostics.append(Diagnostic(str(path), entry.node.place, f"key {key_id!r}: secret: {error}"))
             continue
-        ring.keys[id] = Key(id, secret, one.props.get("tenant") or "", one.props.get("not-after") or 0.0)
-    for one in found.get("revoke", []):
-        if one.args and one.args[0] is not None:
-            ring.revoked[one.args[0]] = one.props.get("below-epoch", 10**9)
-    if troubles:
-        raise Unreadable(troubles)
+        ring.keys[key_id] = Key(key_id, secret, entry.props.get("tenant") or "", entry.props.get("not-after") or 0.0)
+    for entry in nodes_by_name.get("revoke", []):
+        if entry.args and entry.args[0] is not None:
+            ring.revoked[entry.args[0]] = entry.props.get("below-epoch", 10**9)
+    if diagnostics:
+        raise DocumentError(diagnostics)
     return ring
 
 
-def read_operators(path: str) -> Operators:
-    """The whole file; an Unreadable names every trouble in it and in the files that it names."""
+def read_operators(path: str) -> OperatorSettings:
+    """The settings of a file. Raises DocumentError with every problem in it and in the key file that it names."""
     if Path(path).suffix == ".toml":
         return _read_toml(path)
-    troubles: list[Trouble] = []
-    found = fit(SETTINGS, read(Path(path)), path, troubles)
-    out = Operators(path)
-    form, forms = _server_forms(found.get("servers"))
-    for one in found.get("openai", []):
-        out.openai = _openai(one, out, form, forms)
-    for one in found.get("edge", []):
-        if one.props.get("enabled", True):
-            out.edge = _edge(one, out, form, forms, troubles)
+    diagnostics: list[Diagnostic] = []
+    nodes_by_name = validate(SETTINGS_SHAPES, read(Path(path)), path, diagnostics)
+    settings = OperatorSettings(path)
+    form, forms = _server_forms(nodes_by_name.get("servers"))
+    for entry in nodes_by_name.get("openai", []):
+        settings.openai = _openai(entry, settings, form, forms)
+    for entry in nodes_by_name.get("edge", []):
+        if entry.props.get("enabled", True):
+            settings.edge = _edge(entry, settings, form, forms, diagnostics)
         else:
-            _asks(one, out, form, forms, "")  # closed, and its classes are checked all the same; its keys aren't
-    for one in found.get("log", []):
-        out.log = LogConfig(**{key: value for key, value in one.props.items() if value is not None})
-    for one in found.get("subset", []):
-        out.subset = one.args[0] if one.args and one.args[0] else 0
-    if troubles:
-        raise Unreadable(sorted(troubles, key=lambda one: (one.path, one.place.line, one.place.column)))
-    return out
+            # The classes of a disabled edge are checked; its keys are not read.
+            _class_settings(entry, settings, form, forms, "")
+    for entry in nodes_by_name.get("log", []):
+        settings.log = LogConfig(**{key: value for key, value in entry.props.items() if value is not None})
+    for entry in nodes_by_name.get("subset", []):
+        settings.subset = entry.args[0] if entry.args and entry.args[0] else 0
+    if diagnostics:
+        raise DocumentError(
+            sorted(diagnostics, key=lambda problem: (problem.path, problem.place.line, problem.place.column))
+        )
+    return settings
 
 
-def _server_forms(nodes: list[Values] | None) -> tuple[str, dict[str, str]]:
+def _server_forms(nodes: list[NodeValues] | None) -> tuple[str, dict[str, str]]:
+    """The default form of model servers, and the form of each type of server."""
     if not nodes:
         return "platform", {}
-    forms = {one.args[0]: one.props.get("form", "") for one in nodes[0].all("type") if one.args}
+    forms = {
+        server_type.args[0]: server_type.props.get("form", "")
+        for server_type in nodes[0].children_named("type")
+        if server_type.args
+    }
     return nodes[0].props.get("form") or "platform", forms
 
 
-def _asks(one: Values, out: Operators, form: str, forms: dict[str, str], listen: str) -> OpenAIConfig:
+def _class_settings(
+    front: NodeValues, settings: OperatorSettings, form: str, forms: dict[str, str], listen: str
+) -> OpenAIConfig:
+    """The settings that both fronts share. Records each class that they name in `settings.classes`."""
     classes, deadlines = {}, {}
-    for model in one.all("model"):
+    for model in front.children_named("model"):
         if model.args and model.props.get("class") is not None:
             classes[model.args[0]] = model.props["class"]
-            out.classes.append((model.props["class"], model.node.place))
-    for klass in one.all("class"):
+            settings.classes.append((model.props["class"], model.node.place))
+    for klass in front.children_named("class"):
         if klass.args and klass.args[0] is not None:
-            out.classes.append((klass.args[0], klass.node.place))
+            settings.classes.append((klass.args[0], klass.node.place))
             if klass.props.get("deadline"):
                 deadlines[klass.args[0]] = klass.props["deadline"]
-    default = one.props.get("default-class") or ""
-    out.classes.append((default, one.node.place))
-    models = one.one("models")
+    default = front.props.get("default-class") or ""
+    settings.classes.append((default, front.node.place))
+    models = front.child("models")
     return OpenAIConfig(
         listen=listen,
         default_class=default,
@@ -226,100 +243,112 @@
     )
 
 
-def _openai(one: Values, out: Operators, form: str, forms: dict[str, str]) -> OpenAIConfig | None:
-    listen = one.props.get("listen")
-    made = _asks(one, out, form, forms, _written(listen))
-    made.enabled = one.props.get("enabled", True)
-    made.default_tenant = one.props.get("default-tenant") or ""
-    made.session_from_user = one.props.get("session-from-user", True)
-    made.idempotency = one.props.get("idempotency", True)
-    made.tenants = {key.args[0]: key.props.get("tenant") or "" for key in one.all("api-key") if key.args}
-    return made
+def _openai(front: NodeValues, settings: OperatorSettings, form: str, forms: dict[str, str]) -> OpenAIConfig | None:
+    listen = front.props.get("listen")
+    config = _class_settings(front, settings, form, forms, _format_address(listen))
+    config.enabled = front.props.get("enabled", True)
+    config.default_tenant = front.props.get("default-tenant") or ""
+    config.session_from_user = front.props.get("session-from-user", True)
+    config.idempotency = front.props.get("idempotency", True)
+    config.tenants = {
+        key.args[0]: key.props.get("tenant") or "" for key in front.children_named("api-key") if key.args
+    }
+    return config
 
 
-def _written(listen: tuple[str, int] | None) -> str:
+def _format_address(listen: tuple[str, int] | None) -> str:
     if listen is None:
         return ""
     return f"[{listen[0]}]:{listen[1]}" if ":" in listen[0] else f"{listen[0]}:{listen[1]}"
 
 
 def _edge(
-    one: Values, out: Operators, form: str, forms: dict[str, str], troubles: list[Trouble]
+    front: NodeValues, settings: OperatorSettings, form: str, forms: dict[str, str], diagnostics: list[Diagnostic]
 ) -> EdgeConfig | None:
-    keys = one.one("keys")
+    keys = front.child("keys")
     ring = Keyring()
     if keys is None:
-        troubles.append(Trouble(out.path, one.node.place, "edge: keys is missing: a file of keys is wanted"))
+        diagnostics.append(
+            Diagnostic(settings.path, front.node.place, "edge: keys is missing: expected the path of a key file")
+        )
     elif keys.args and keys.args[0]:
-        file = Path(out.path).parent / keys.args[0]
+        file = Path(settings.path).parent / keys.args[0]
         try:
             ring = read_keys(file)
             if not ring.keys:
-                troubles.append(Trouble(str(file), Place(1, 1), "no key is in there"))
+                diagnostics.append(Diagnostic(str(file), Place(1, 1), "the file holds no key"))
             if os.name == "posix" and stat.S_IMODE(file.stat().st_mode) & 0o077:
-                out.warnings.append(Trouble(str(file), Place(1, 1), "others than its owner may read the keys"))
-        except Unreadable as error:
-            troubles += error.troubles
-    keep, bounds = one.of("keep"), one.of("bounds")
+                settings.warnings.append(
+                    Diagnostic(str(file), Place(1, 1), "users other than its owner may read the keys")
+                )
+        except DocumentError as error:
+            diagnostics += error.diagnostics
+    keep, bounds = front.child_props("keep"), front.child_props("bounds")
     lingers = {
         klass.args[0]: klass.props["linger"]
-        for klass in one.all("class")
+        for klass in front.children_named("class")
         if klass.args and klass.props.get("linger") is not None
     }
-    for new, old in (("keep", "ended"), ("remember", "tombstones"), ("idle", "sessions")):
-        if old in keep:
-            bounds[new] = keep[old]
+    for bound, prop in (("keep", "ended"), ("remember", "tombstones"), ("idle", "sessions")):
+        if prop in keep:
+            bounds[bound] = keep[prop]
     limits: dict[str, float] = {}
-    inner = one.one("limits")
+    limits_node = front.child("limits")
     links = 20_000
-    if inner is not None:
-        for who in ("device", "tenant"):
-            limits |= {f"{who}_{key}": value for key, value in inner.of(who).items()}
-        if inner.one("running"):
-            limits["running"] = inner.arg("running", 0)
-        arrivals = inner.of("arrivals")
-        names = {"rate": "arrivals", "burst": "arrivals_burst"}
-        limits |= {names.get(key, key): value for key, value in arrivals.items()}
-        links = inner.arg("links", links) or links
-    alive = one.of("keep-alive")
-    socket, poll = one.of("websocket"), one.of("poll")
-    if alive.get("least", KeepAlive().least) > alive.get("most", KeepAlive().most):
-        place = one.one("keep-alive").node.place  # type: ignore[union-attr]
-        troubles.append(Trouble(out.path, place, "keep-alive: least is above most"))
-    asks = _asks(one, out, form, forms, "")
-    if troubles:
+    if limits_node is not None:
+        for scope in ("device", "tenant"):
+            limits |= {f"{scope}_{key}": value for key, value in limits_node.child_props(scope).items()}
+        if limits_node.child("running"):
+            limits["running"] = limits_node.child_arg("running", 0)
+        arrivals = limits_node.child_props("arrivals")
+        field_names = {"rate": "arrivals", "burst": "arrivals_burst"}
+        limits |= {field_names.get(key, key): value for key, value in arrivals.items()}
+        links = limits_node.child_arg("links", links) or links
+    keep_alive = front.child_props("keep-alive")
+    websocket, poll = front.child_props("websocket"), front.child_props("poll")
+    if keep_alive.get("least", KeepAlive().least) > keep_alive.get("most", KeepAlive().most):
+        place = front.child("keep-alive").node.place  # type: ignore[union-attr]
+        diagnostics.append(Diagnostic(settings.path, place, "keep-alive: least exceeds most"))
+    class_settings = _class_settings(front, settings, form, forms, "")
+    if diagnostics:
         return None
-    bounds["linger"] = one.arg("linger", Bounds().linger)
+    bounds["linger"] = front.child_arg("linger", Bounds().linger)
     return EdgeConfig(
-        listen=one.props["listen"],
+        listen=front.props["listen"],
         keyring=ring,
-        asks=asks,
+        asks=class_settings,
         bounds=Bounds(lingers=lingers, **bounds),
         limits=msgspec.convert(limits, Limits),
-        keep_alive=KeepAlive(**alive),
-        drain=one.arg("drain", 10.0),
+        keep_alive=KeepAlive(**keep_alive),
+        drain=front.child_arg("drain", 10.0),
         links=links,
         poll_most=poll.get("longest", 25.0),
-        allow_origins=[origin.args[0] for origin in one.all("allow-origin") if origin.args],
-        **socket,
+        allow_origins=[origin.args[0] for origin in front.children_named("allow-origin") if origin.args],
+        **websocket,
     )
 
 
-def _read_toml(path: str) -> Operators:
-    """The form of 0.3, read for one release more."""
+def _read_toml(path: str) -> OperatorSettings:
+    """Reads the TOML form of release 0.3, which this release still supports."""
     try:
         table = tomllib.loads(Path(path).read_text())
-        made = msgspec.convert(table, OpenAIConfig)
+        parsed = msgspec.convert(table, OpenAIConfig)
     except OSError as error:
-        raise Unreadable([Trouble(path, Place(1, 1), error.strerror or "can't be read")]) from None
+        raise DocumentError([Diagnostic(path, Place(1, 1), error.strerror or "cannot be read")]) from None
     except (ValueError, msgspec.ValidationError) as error:
-        found = re.search(r"line (\d+), column (\d+)", str(error))
-        place = Place(int(found[1]), int(found[2])) if found else Place(1, 1)
-        raise Unreadable([Trouble(path, place, " ".join(str(error).split()))]) from None
-    for form in (made.server_form, *made.server_forms.values()):
+        match = re.search(r"line (\d+), column (\d+)", str(error))
+        place = Place(int(match[1]), int(match[2])) if match else Place(1, 1)
+        raise DocumentError([Diagnostic(path, place, " ".join(str(error).split()))]) from None
+    for form in (parsed.server_form, *parsed.server_forms.values()):
         if form not in ("openai", "platform"):
-            raise Unreadable([Trouble(path, Place(1, 1), f"a server's form is openai or platform, not {form!r}")])
-    out = Operators(path, openai=made)
-    out.classes = [(name, Place(1, 1)) for name in (*made.classes.values(), *made.deadline_s, made.default_class)]
-    out.warnings = [Trouble(path, Place(1, 1), "the TOML form goes with the next release; write it as KDL")]
-    return out
+            raise DocumentError(
+                [Diagnostic(path, Place(1, 1), f"expected openai or platform as the form of a server, got {form!r}")]
+            )
+    settings = OperatorSettings(path, openai=parsed)
+    settings.classes = [
+        (name, Place(1, 1)) for name in (*parsed.classes.values(), *parsed.deadline_s, parsed.default_class)
+    ]
+    settings.warnings = [
+        Diagnostic(path, Place(1, 1), "the TOML form will be removed in the next release; convert the file to KDL")
+    ]
+    return settings
--- a/pearstall/config/schema.py
+++ b/pearstall/config/schema.py
@@ -1,4 +1,4 @@
-"""What a KDL document may hold: shapes of nodes, checked with every trouble named and none hidden by another."""
+"""Schemas for KDL documents: the permitted shape of each node, and validation that reports every problem."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from pearstall.config.kdl import Node, Trouble
+from pearstall.config.kdl import Diagnostic, Node
 
 Check = Callable[[Any], Any]
-UNITS = {"ms": 1e-3, "s": 1.0, "m": 60.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
-SIZES = {"": 1, "B": 1, "kB": 1000, "KB": 1000, "MB": 10**6, "GB": 10**9, "KiB": 1 << 10, "MiB": 1 << 20,
-         "GiB": 1 << 30}  # fmt: skip
+DURATION_UNITS = {"ms": 1e-3, "s": 1.0, "m": 60.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
+SIZE_UNITS = {"": 1, "B": 1, "kB": 1000, "KB": 1000, "MB": 10**6, "GB": 10**9, "KiB": 1 << 10, "MiB": 1 << 20,
+              "GiB": 1 << 30}  # fmt: skip
 
 
 def text(value: Any) -> str:
     if not isinstance(value, str):
-        raise ValueError("a text")
+        raise ValueError("a string")
     return value
 
 
@@ -29,48 +29,48 @@
     return value
 
 
-def number(least: float = 0.0, most: float = 1e15) -> Check:
+def number(minimum: float = 0.0, maximum: float = 1e15) -> Check:
     def check(value: Any) -> float:
-        bad = isinstance(value, bool) or not isinstance(value, int | float)
-        if bad or not least <= value <= most or not math.isfinite(value):
-            raise ValueError(f"a number from {least:g} to {most:g}")
+        invalid = isinstance(value, bool) or not isinstance(value, int | float)
+        if invalid or not minimum <= value <= maximum or not math.isfinite(value):
+            raise ValueError(f"a number from {minimum:g} to {maximum:g}")
         return float(value)
 
     return check
 
 
-def whole(least: int = 0, most: int = 10**12) -> Check:
+def whole(minimum: int = 0, maximum: int = 10**12) -> Check:
     def check(value: Any) -> int:
-        if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
-            raise ValueError(f"a whole number from {least} to {most}")
+        if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
+            raise ValueError(f"a whole number from {minimum} to {maximum}")
         return int(value)
 
     return check
 
 
-def duration(least: float = 0.0, most: float = 30 * 86400.0) -> Check:
-    """Seconds: a number of them, or a text with a unit as in "20s", "5m", "500ms"."""
+def duration(minimum: float = 0.0, maximum: float = 30 * 86400.0) -> Check:
+    """A duration in seconds: a number, or a string with a unit such as "20s", "5m" or "500ms"."""
 
     def check(value: Any) -> float:
         if isinstance(value, str):
-            found = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?) ?(ms|s|m|min|h|d)", value)
-            value = float(found[1]) * UNITS[found[2]] if found else None
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise ValueError(f'a time from {least:g} to {most:g} seconds, as in 20, "20s" or "500ms"')
+            match = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?) ?(ms|s|m|min|h|d)", value)
+            value = float(match[1]) * DURATION_UNITS[match[2]] if match else None
+        if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+            raise ValueError(f'a time from {minimum:g} to {maximum:g} seconds, such as 20, "20s" or "500ms"')
         return float(value)
 
     return check
 
 
-def size(least: int = 0, most: int = 1 << 40) -> Check:
-    """Bytes: a number of them, or a text with a unit as in "1MiB"."""
+def size(minimum: int = 0, maximum: int = 1 << 40) -> Check:
+    """A size in bytes: a whole number, or a string with a unit such as "1MiB"."""
 
     def check(value: Any) -> int:
         if isinstance(value, str):
-            found = re.fullmatch(r"([0-9]+) ?([kKMG]?i?B?)", value)
-            value = int(found[1]) * SIZES[found[2]] if found and found[2] in SIZES else None
-        if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
-            raise ValueError(f'a size from {least} to {most} bytes, as in 4096 or "1MiB"')
+            match = re.fullmatch(r"([0-9]+) ?([kKMG]?i?B?)", value)
+            value = int(match[1]) * SIZE_UNITS[match[2]] if match and match[2] in SIZE_UNITS else None
+        if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
+            raise ValueError(f'a size from {minimum} to {maximum} bytes, such as 4096 or "1MiB"')
         return int(value)
 
     return check
@@ -89,23 +89,23 @@
     host, colon, port = value.strip().rpartition(":") if isinstance(value, str) else ("", "", "")
     host = host.removeprefix("[").removesuffix("]")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= 65535:
-        raise ValueError('an address and a port, as in "127.0.0.1:8090"')
+        raise ValueError('an address and a port, such as "127.0.0.1:8090"')
     return host, int(port)
 
 
-def moment(value: Any) -> float:
-    """Unix time of an ISO 8601 moment; UTC where no zone is named."""
+def timestamp(value: Any) -> float:
+    """Unix time of an ISO 8601 timestamp, which is taken as UTC if it names no time zone."""
     try:
-        made = datetime.fromisoformat(value)
+        parsed = datetime.fromisoformat(value)
     except (TypeError, ValueError):
-        raise ValueError('a moment, as in "2027-01-31T00:00:00Z"') from None
-    return (made if made.tzinfo else made.replace(tzinfo=UTC)).timestamp()
+        raise ValueError('an ISO 8601 timestamp, such as "2027-01-31T00:00:00Z"') from None
+    return (parsed if parsed.tzinfo else parsed.replace(tzinfo=UTC)).timestamp()
 
 
-def matching(pattern: re.Pattern[str], wanted: str) -> Check:
+def matching(pattern: re.Pattern[str], expected: str) -> Check:
     def check(value: Any) -> str:
         if not isinstance(value, str) or not pattern.fullmatch(value):
-            raise ValueError(wanted)
+            raise ValueError(expected)
         return value
 
     return check
@@ -113,90 +113,100 @@
 
 @dataclass(slots=True, frozen=True)
 class Shape:
-    """What a node may hold. `args`: one check each, in order; `more`: for all beyond them."""
+    """The permitted contents of a node.
+
+    `args` has one check for each required argument, in order; `more` checks any further arguments.
+    """
 
     args: tuple[Check, ...] = ()
     more: Check | None = None
     props: dict[str, Check] = field(default_factory=dict)
     required: frozenset[str] = frozenset()
     children: dict[str, Shape] = field(default_factory=dict)
-    many: bool = False  # the node may stand there several times
-    secret: bool = False  # its values are never repeated in a trouble
+    many: bool = False  # the node may be repeated
+    secret: bool = False  # diagnostics never show its values
 
 
 @dataclass(slots=True)
-class Values:
-    """A node that fits its shape."""
+class NodeValues:
+    """The checked values of a node. A value that failed its check is None."""
 
     node: Node
     args: list[Any] = field(default_factory=list)
     props: dict[str, Any] = field(default_factory=dict)
-    children: dict[str, list[Values]] = field(default_factory=dict)
+    children: dict[str, list[NodeValues]] = field(default_factory=dict)
 
-    def all(self, name: str) -> list[Values]:
+    def children_named(self, name: str) -> list[NodeValues]:
         return self.children.get(name, [])
 
-    def one(self, name: str) -> Values | None:
-        found = self.children.get(name)
-        return found[0] if found else None
+    def child(self, name: str) -> NodeValues | None:
+        nodes = self.children.get(name)
+        return nodes[0] if nodes else None
+
+    def child_arg(self, name: str, default: Any) -> Any:
+        """The first argument of the named child, or `default`."""
+        child = self.child(name)
+        return child.args[0] if child is not None and child.args else default
 
-    def arg(self, name: str, otherwise: Any) -> Any:
-        """The first argument of that child."""
-        found = self.one(name)
-        return found.args[0] if found is not None and found.args else otherwise
+    def child_props(self, name: str) -> dict[str, Any]:
+        """The properties of the named child, with each - in their names replaced by _."""
+        child = self.child(name)
+        return {key.replace("-", "_"): value for key, value in child.props.items()} if child is not None else {}
 
-    def of(self, name: str) -> dict[str, Any]:
-        """The properties of that child, with - as _."""
-        found = self.one(name)
-        return {key.replace("-", "_"): value for key, value in found.props.items()} if found is not None else {}
 
+def validate(
+    shapes: dict[str, Shape], nodes: list[Node], path: str, diagnostics: list[Diagnostic]
+) -> dict[str, list[NodeValues]]:
+    """Checks nodes against their shapes and returns their values by name.
 
-def fit(shapes: dict[str, Shape], nodes: list[Node], path: str, troubles: list[Trouble]) -> dict[str, list[Values]]:
-    """The nodes by name; what doesn't fit goes to `troubles`, and the rest is read on."""
-    out: dict[str, list[Values]] = {}
+    Each violation is appended to `diagnostics`, and validation goes on with the rest.
+    """
+    values: dict[str, list[NodeValues]] = {}
     for node in nodes:
         shape = shapes.get(node.name)
         if shape is None:
             names = ", ".join(sorted(shapes)) or "nothing"
-            troubles.append(Trouble(path, node.place, f"no node is called {node.name!r} here; there is {names}"))
+            diagnostics.append(Diagnostic(path, node.place, f"unknown node {node.name!r}; permitted here: {names}"))
             continue
-        if node.name in out and not shape.many:
-            first = out[node.name][0].node.place
-            troubles.append(Trouble(path, node.place, f"{node.name} stands at line {first.line} already"))
+        if node.name in values and not shape.many:
+            first = values[node.name][0].node.place
+            diagnostics.append(
+                Diagnostic(path, node.place, f"duplicate {node.name}: first given on line {first.line}")
+            )
             continue
-        out.setdefault(node.name, []).append(_fit_one(shape, node, path, troubles))
-    return out
+        values.setdefault(node.name, []).append(_validate_node(shape, node, path, diagnostics))
+    return values
 
 
-def _fit_one(shape: Shape, node: Node, path: str, troubles: list[Trouble]) -> Values:
-    made = Values(node)
+def _validate_node(shape: Shape, node: Node, path: str, diagnostics: list[Diagnostic]) -> NodeValues:
+    values = NodeValues(node)
 
-    def say(what: str) -> None:
-        troubles.append(Trouble(path, node.place, f"{node.name}: {what}"))
+    def report(message: str) -> None:
+        diagnostics.append(Diagnostic(path, node.place, f"{node.name}: {message}"))
 
-    def taken(check: Check, value: Any, name: str) -> Any:
+    def checked(check: Check, value: Any, name: str) -> Any:
         try:
             return check(value)
         except ValueError as error:
-            got = "" if shape.secret else f", not {value!r}"
-            say(f"{name}{error} is wanted{got}")
+            got = "" if shape.secret else f", got {value!r}"
+            report(f"{name}expected {error}{got}")
             return None
 
-    for at, value in enumerate(node.args):
-        check = shape.args[at] if at < len(shape.args) else shape.more
+    for index, value in enumerate(node.args):
+        check = shape.args[index] if index < len(shape.args) else shape.more
         if check is None:
-            say(f"{len(shape.args)} argument{'s' * (len(shape.args) != 1)} at most, not {len(node.args)}")
+            report(f"expected at most {len(shape.args)} argument{'s' * (len(shape.args) != 1)}, got {len(node.args)}")
             break
-        made.args.append(taken(check, value, ""))
+        values.args.append(checked(check, value, ""))
     if len(node.args) < len(shape.args):
-        say(f"{len(shape.args)} argument{'s' * (len(shape.args) != 1)} wanted, not {len(node.args)}")
+        report(f"expected {len(shape.args)} argument{'s' * (len(shape.args) != 1)}, got {len(node.args)}")
     for key, value in node.props.items():
         if key not in shape.props:
             names = ", ".join(sorted(shape.props)) or "none"
-            say(f"no property is called {key!r}; there is {names}")
+            report(f"unknown property {key!r}; permitted here: {names}")
         else:
-            made.props[key] = taken(shape.props[key], value, f"{key}: ")
+            values.props[key] = checked(shape.props[key], value, f"{key}: ")
     for key in sorted(shape.required - node.props.keys()):
-        say(f"{key} is missing")
-    made.children = fit(shape.children, node.children, path, troubles)
-    return made
+        report(f"{key} is missing")
+    values.children = validate(shape.children, node.children, path, diagnostics)
+    return values
--- a/pearstall/lab/devices.py
+++ b/pearstall/lab/devices.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from pearstall.config.operators import LogConfig, Operators
+from pearstall.config.operators import LogConfig, OperatorSettings
 from pearstall.edge.client import WIRES, DeviceAsk, DeviceClient, WireName
 from pearstall.edge.keeping import Bounds
 from pearstall.edge.limits import Limits
@@ -92,7 +92,7 @@
     waits: list[float] = field(default_factory=list)  # from asking to receiving the final record
 
 
-def operators_of(settings: EdgeSettings, host: str, klass: str) -> Operators:
+def operators_of(settings: EdgeSettings, host: str, klass: str) -> OperatorSettings:
     """Returns the operators' configuration of a router's edge."""
     limits = Limits(
         device_rate=0.0, device_running=64, running=settings.running, arrivals=settings.arrivals,
@@ -106,7 +106,7 @@
         limits=limits,
         bounds=Bounds(linger=settings.linger, keep=settings.keep),
     )
-    return Operators("", edge=edge, log=LogConfig(form="off"))
+    return OperatorSettings("", edge=edge, log=LogConfig(form="off"))
 
 
 class DeviceLoad:
--- a/pearstall/lab/scenarios.py
+++ b/pearstall/lab/scenarios.py
@@ -21,8 +21,8 @@
 
 import msgspec
 
-from pearstall.config.kdl import Place, Trouble, Unreadable, read
-from pearstall.config.schema import Shape, Values, duration, fit, flag, number, one_of, text, whole
+from pearstall.config.kdl import Diagnostic, DocumentError, Place, read
+from pearstall.config.schema import NodeValues, Shape, duration, flag, number, one_of, text, validate, whole
 from pearstall.edge.client import WIRES
 from pearstall.lab.devices import LINKS, Devices
 from pearstall.lab.rates import BadRate, Rate, parse_rate, peak_rate
@@ -122,11 +122,11 @@
 
 
 def read_plan(path: str) -> Plan:
-    """Reads a plan; Unreadable lists every error with its position."""
-    troubles: list[Trouble] = []
-    nodes = fit(SHAPES, read(Path(path)), path, troubles)
+    """Reads a plan; DocumentError lists every error with its position."""
+    troubles: list[Diagnostic] = []
+    nodes = validate(SHAPES, read(Path(path)), path, troubles)
     if "load" not in nodes:
-        troubles.append(Trouble(path, Place(1, 1), 'load is missing: it requires a rate such as "60/s"'))
+        troubles.append(Diagnostic(path, Place(1, 1), 'load is missing: it requires a rate such as "60/s"'))
     base = Scenario(name=Path(path).stem)
     if not troubles:
         _apply_scenario(base, nodes, path, troubles)
@@ -135,13 +135,13 @@
         if troubles or not one.args:
             break
         if any(one.args[0] == other.name for other in plan.variants):
-            troubles.append(Trouble(path, one.node.place, f"duplicate variant {one.args[0]!r}"))
+            troubles.append(Diagnostic(path, one.node.place, f"duplicate variant {one.args[0]!r}"))
             continue
         changed = msgspec.structs.replace(base, settings=dict(base.settings), constants=dict(base.constants))
         _apply_changes(changed, one.children, path, troubles)
         plan.variants.append(Variant(one.args[0], changed))
     if troubles:
-        raise Unreadable(sorted(troubles, key=lambda one: (one.place.line, one.place.column)))
+        raise DocumentError(sorted(troubles, key=lambda one: (one.place.line, one.place.column)))
     return plan
 
 
@@ -149,7 +149,7 @@
     return {key.replace("-", "_"): value for key, value in props.items()}
 
 
-def _apply_scenario(out: Scenario, nodes: dict[str, list[Values]], path: str, troubles: list[Trouble]) -> None:
+def _apply_scenario(out: Scenario, nodes: dict[str, list[NodeValues]], path: str, troubles: list[Diagnostic]) -> None:
     for one in nodes.get("scenario", []):
         out.name = one.args[0] if one.args else out.name
         out.seconds = one.props.get("seconds", out.seconds)
@@ -167,13 +167,13 @@
         out.classes = classes
     out.faults = [Fault(kind=one.args[0], **_underscored(one.props)) for one in nodes.get("fault", [])]
     for one in nodes.get("devices", []):
-        wires = one.one("wires")
+        wires = one.child("wires")
         wire_options: dict[str, Any] = {"wires": tuple(wires.args)} if wires is not None and wires.args else {}
         out.devices = [*out.devices, Devices(name=one.args[0], **_underscored(one.props), **wire_options)]
     _apply_changes(out, nodes, path, troubles)
 
 
-def _apply_changes(out: Scenario, nodes: dict[str, list[Values]], path: str, troubles: list[Trouble]) -> None:
+def _apply_changes(out: Scenario, nodes: dict[str, list[NodeValues]], path: str, troubles: list[Diagnostic]) -> None:
     from pearstall import choice
 
     for one in nodes.get("load", []):
@@ -181,7 +181,7 @@
             out.rate = parse_rate(one.args[0], Path(path).parent)
             out.most_rate = max(0.001, peak_rate(out.rate, out.seconds))
         except BadRate as error:
-            troubles.append(Trouble(path, one.node.place, f"load: {error}"))
+            troubles.append(Diagnostic(path, one.node.place, f"load: {error}"))
     for one in nodes.get("engine", []):
         out.engine = msgspec.structs.replace(out.engine, **_underscored(one.props))
     for one in nodes.get("edge", []):
@@ -191,13 +191,13 @@
     for one in nodes.get("constant", []):
         name, value = one.args
         if not isinstance(vars(choice).get(name), int | float) or isinstance(vars(choice).get(name), bool):
-            troubles.append(Trouble(path, one.node.place, f"choice.py has no constant {name}"))
+            troubles.append(Diagnostic(path, one.node.place, f"choice.py has no constant {name}"))
         out.constants[name] = value
     for one in nodes.get("setting", []):
         name, value = one.args
         if name not in SETTABLE:
             troubles.append(
-                Trouble(path, one.node.place, f"unknown setting {name}; known settings: {', '.join(SETTABLE)}")
+                Diagnostic(path, one.node.place, f"unknown setting {name}; known settings: {', '.join(SETTABLE)}")
             )
         out.settings[name] = value
 
--- a/pearstall/net/config.py
+++ b/pearstall/net/config.py
@@ -16,7 +16,7 @@
 from pearstall.settings import settings_from_wire
 
 if TYPE_CHECKING:  # the platform's `run` has no such file, and imports none of this
-    from pearstall.config.operators import Operators
+    from pearstall.config.operators import OperatorSettings
     from pearstall.edge.settings import EdgeConfig
 
 T = TypeVar("T")
@@ -113,7 +113,7 @@
     names: Names
     openai: OpenAIConfig | None = None
     openai_listen: tuple[str, int] | None = None
-    operators: Operators | None = None  # if an operators' file is given
+    operators: OperatorSettings | None = None  # if an operators' file is given
     subset: int = 0  # model servers that this router uses; 0: all
     inventory: Path | None = None
     file_discovery: str = ""  # discovery's address in the file; the environment may override it
@@ -221,9 +221,9 @@
     return found
 
 
-def _operators(path: str, names: Names) -> Operators:
+def _operators(path: str, names: Names) -> OperatorSettings:
     try:
-        from pearstall.config.kdl import Unreadable
+        from pearstall.config.kdl import DocumentError
         from pearstall.config.operators import read_operators
     except ModuleNotFoundError as error:
         raise ConfigError(f"{path}: {error.name} is not installed: see requirements-edge.txt") from None
@@ -231,11 +231,11 @@
         found = read_operators(path)
         troubles = found.check(names)
         if troubles:
-            raise Unreadable(troubles)
-    except Unreadable as error:
-        more = len(error.troubles) - 1
+            raise DocumentError(troubles)
+    except DocumentError as error:
+        more = len(error.diagnostics) - 1
         raise ConfigError(
-            f"{error.troubles[0]}" + (f" (and {more} more: `pearstall check` lists them)" if more else "")
+            f"{error.diagnostics[0]}" + (f" (and {more} more: `pearstall check` lists them)" if more else "")
         ) from None
     return found
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from pearstall.cli.main import commands
-from pearstall.config.kdl import Unreadable
+from pearstall.config.kdl import DocumentError
 from pearstall.lab.clock import Deadlock, VirtualLoop, run
 from pearstall.lab.devices import Devices, EdgeSettings
 from pearstall.lab.engine import Engine, EngineSettings, Sequence_
@@ -331,13 +331,13 @@
     file = tmp_path / "x.kdl"
     file.write_text('load "60/s + brust(2x)"\nfault "gremlins" at=3\nfault "slow"\nworld routers=0\n'
                     'variant "v" { constant "NOTHING" 1; }\n')  # fmt: skip
-    with pytest.raises(Unreadable) as error:
+    with pytest.raises(DocumentError) as error:
         read_plan(str(file))
-    assert [one.place.line for one in error.value.troubles] == [2, 3, 4]
+    assert [one.place.line for one in error.value.diagnostics] == [2, 3, 4]
     file.write_text('load "60/s + brust(2x)"\nvariant "v" { constant "NOTHING" 1; setting "odd" 1; }\n')
-    with pytest.raises(Unreadable) as error:
+    with pytest.raises(DocumentError) as error:
         read_plan(str(file))
-    assert [one.place.line for one in error.value.troubles] == [1]
+    assert [one.place.line for one in error.value.diagnostics] == [1]
     for path in sorted((ROOT / "scenarios").glob("*.kdl")):
         assert read_plan(str(path)).base.rate(1) > 0
 
