--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -1,10 +1,10 @@
-"""The edge's costs: memory of sessions and asks, resumes a second, CPU an event, and a storm.
+"""The edge's costs: memory per session and ask, resumes per second, CPU per event, and a reconnect storm.
 
     python benchmarks/edge.py [--sizes 1000,10000,50000] [--storm 2000] [--json] [--plots FOLDER]
 
-Memory is the growth of the process's resident set, each size in a process of its own. CPU an event is a ratio within
-one run: the same stream through the platform's front and through each wire of the edge, the clients outside the
-process that is measured.
+Memory is the growth of the process's resident set, each size in its own process. CPU per event is compared within one
+run: the same stream passes through the platform's front and through each wire of the edge. Clients run outside the
+measured process.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 import msgspec  # noqa: E402
 
-from benchmarks.common import cpu, fresh, main, resident  # noqa: E402
+from benchmarks.common import cpu, main, resident, run_in_new_process  # noqa: E402
 from pearstall.edge.frames import CODECS, Ack, AskFor, Ended, Error, Events, Hello, Position, Welcome  # noqa: E402
 from pearstall.edge.keeping import Bounds  # noqa: E402
 from pearstall.edge.records import Problem  # noqa: E402
@@ -43,10 +43,10 @@
 
 
 def memory(what: str, count: int) -> dict[str, Any]:
-    """Bytes a piece, for so many: `idle` sessions, `tombstone`s, or `finished` asks of 20 events not fetched."""
+    """Bytes per item of one kind: `idle` sessions, `tombstone`s, or `finished` asks of 20 unread events."""
     scene = Scene(Bounds(sessions=count + 9, tombstones=count + 9, keep=1e6, remember=1e6, idle=1e6))
     edge, payload = scene.edge, body()
-    scene.notes = _Nothing()  # type: ignore[assignment]
+    scene.notes = _DiscardingList()  # type: ignore[assignment]
 
     class Upstream:
         def take(self, query: Query) -> int:
@@ -59,11 +59,11 @@
     scene.sessions.upstream = Upstream()
     devices = [f"device-{number:08d}" for number in range(count)]
     for warm in range(3):
-        _one(scene, edge, f"warm-{warm}", payload, "finished")
+        _add_item(scene, edge, f"warm-{warm}", payload, "finished")
     before = resident()
     began = time.perf_counter()
     for name in devices:
-        _one(scene, edge, name, payload, what)
+        _add_item(scene, edge, name, payload, what)
     seconds = time.perf_counter() - began
     return {
         "what": what,
@@ -73,11 +73,11 @@
     }
 
 
-class _Nothing(list[Any]):
+class _DiscardingList(list[Any]):
     def append(self, item: Any) -> None: ...
 
 
-def _one(scene: Scene, edge: Any, name: str, payload: bytes, what: str) -> None:
+def _add_item(scene: Scene, edge: Any, name: str, payload: bytes, what: str) -> None:
     device = Device(name, "shop")
     if what == "idle":
         assert not isinstance(edge.session(device), Problem)
@@ -94,11 +94,11 @@
 
 
 def resumes(sessions: int, count: int) -> dict[str, Any]:
-    """Claims of running asks a second, without sockets: what the sessions themselves cost."""
+    """Resumes of running asks per second of CPU, without sockets: the cost of the sessions themselves."""
     scene = Scene(Bounds(sessions=sessions + 1))
     payload, random = body(), Random(1)
     devices = [Device(f"device-{number:08d}", "shop") for number in range(sessions)]
-    scene.sessions.upstream = _Taker()
+    scene.sessions.upstream = _AcceptingUpstream()
     for device in devices:
         ask = scene.edge.ask(device, "a", "", payload, None, 0, 5.0)
         assert not isinstance(ask, Problem)
@@ -110,7 +110,7 @@
     return {"sessions": sessions, "per_second": count / (cpu() - began)}
 
 
-class _Taker:
+class _AcceptingUpstream:
     def take(self, query: Query) -> int:
         return 0
 
@@ -119,11 +119,11 @@
     def pause(self, handle: int, paused: bool) -> None: ...
 
 
-# -- CPU an event ------------------------------------------------------------------------------------------
+# -- CPU per event ------------------------------------------------------------------------------------------
 
 
 async def serve(events: int, asks: int) -> dict[str, Any]:
-    """This process is the router; the servers and clients run in others and say when they are done."""
+    """This process is the router. Servers and clients run in other processes and report when they have finished."""
     out: dict[str, Any] = {}
     steady = Behaviour(first=(0, 0), gap=(0, 0), events=(events, events), size=(60, 60))
     server = await _child("server", str(events))
@@ -142,11 +142,11 @@
                 before = cpu()
                 assert client.stdin is not None
                 client.stdin.write(b"go\n")
-                got = json.loads((await client.stdout.readline()).decode())
+                received = json.loads((await client.stdout.readline()).decode())
                 used = cpu() - before
                 await client.wait()
-                assert got["events"] == asks * (events + 2), (wire, got)
-                out.setdefault(wire, []).append(used / got["events"] * 1e6)
+                assert received["events"] == asks * (events + 2), (wire, received)
+                out.setdefault(wire, []).append(used / received["events"] * 1e6)
         counters = rig.program.counters
         assert counters.broken == counters.failed == 0
     server.terminate()
@@ -167,9 +167,9 @@
 
 
 async def server_part(events: int) -> None:
-    """Answers each request with the same events, a write an event, as a model server does."""
+    """Answers each request with the same events, one write per event, as a model server does."""
     row = {"choices": [{"index": 0, "delta": {"content": "x" * 60}, "finish_reason": None}]}
-    one = b"data: %b\n\n" % json.dumps(row).encode()
+    event = b"data: %b\n\n" % json.dumps(row).encode()
     last = b"data: [DONE]\n\n"
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -180,8 +180,8 @@
                 length = int(asked.lower().partition(b"content-length:")[2].partition(b"\r\n")[0])
                 await reader.readexactly(length)
                 writer.write(head)
-                for event in (*[one] * (events + 1), last):
-                    writer.write(b"%x\r\n%b\r\n" % (len(event), event))
+                for data in (*[event] * (events + 1), last):
+                    writer.write(b"%x\r\n%b\r\n" % (len(data), data))
                     await asyncio.sleep(0.0005)
                 writer.write(b"0\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -195,10 +195,10 @@
 async def client_part(wire: str, port: int, asks: int, tokens: list[str], round: str) -> None:
     print("ready", flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
-    got = await asyncio.gather(
+    received = await asyncio.gather(
         *(_client(wire, port, asks // len(tokens), token, f"{wire}-{round}-{n}") for n, token in enumerate(tokens))
     )
-    print(json.dumps({"events": sum(got)}), flush=True)
+    print(json.dumps({"events": sum(received)}), flush=True)
 
 
 async def _client(wire: str, port: int, asks: int, token: str, name: str) -> int:
@@ -222,7 +222,7 @@
                 more = await reader.read(65536)
                 assert more, data[-300:]
                 data += more
-            total += data.count(b"data: ") - (2 if wire == "sse" else 0)  # its own two: attached, final
+            total += data.count(b"data: ") - (2 if wire == "sse" else 0)  # the edge adds two events: attached, final
             if wire == "sse":
                 writer.close()
                 reader, writer = await asyncio.open_connection(LOCAL, port)
@@ -255,12 +255,12 @@
     return total
 
 
-# -- a storm -----------------------------------------------------------------------------------------------
+# -- reconnect storm -----------------------------------------------------------------------------------------------
 
 
 async def storm(devices: int, resuming: float) -> dict[str, Any]:
-    """All devices come back within a second, as after a cell outage, and return when they are told to: from the
-    first to the last answer held, and how many were sent off how often."""
+    """All devices reconnect within a second, as after a cell outage; those turned off retry after the advised wait.
+    Measures the times until the answers are received, and how many connections were turned off."""
     from websockets.asyncio.client import connect
     from websockets.exceptions import ConnectionClosed
     from websockets.typing import Subprotocol
@@ -275,7 +275,7 @@
     codec = CODECS["pearstall.msgpack.1"]
     random = Random(7)
     finished: dict[str, list[float]] = {"resumes": [], "asks": []}
-    turned = 0
+    turned_off = 0
 
     async with installation([slow] * 8, more=more) as rig:
         url = rig.url.replace("http", "ws") + "/v1/device"
@@ -285,21 +285,21 @@
         limits, gate.limits = gate.limits, msgspec.structs.replace(gate.limits, arrivals=0.0)
         opened = asyncio.Semaphore(200)
 
-        async def before(number: int) -> None:
+        async def connect_before(number: int) -> None:
             async with opened:
                 socket = await connect(url, subprotocols=[Subprotocol(codec.name)], compression=None, proxy=None)
                 await socket.send(codec.encode(Hello(rig.token(f"d{number}"))))
                 await socket.send(codec.encode(AskFor("a", payload)))
                 while not isinstance(codec.read(await socket.recv()), Events):
                     pass
-                socket.transport.abort()  # the cell goes out
+                socket.transport.abort()  # the cell fails
 
-        await asyncio.gather(*(before(number) for number in range(count)))
+        await asyncio.gather(*(connect_before(number) for number in range(count)))
         gate.limits = limits
         began = time.perf_counter()
 
-        async def back(number: int) -> None:
-            nonlocal turned
+        async def reconnect(number: int) -> None:
+            nonlocal turned_off
             await asyncio.sleep(random.random())
             resumes = number < count
             while True:
@@ -315,7 +315,7 @@
                             if isinstance(message, Welcome) and not resumes:
                                 await socket.send(codec.encode(AskFor("a", payload)))
                             elif isinstance(message, Error):
-                                turned += 1
+                                turned_off += 1
                                 wait = message.retry_after_ms / 1000
                                 break
                             elif isinstance(message, Ended):
@@ -326,9 +326,9 @@
                     pass
                 await asyncio.sleep(wait)
 
-        await asyncio.gather(*(back(number) for number in range(devices)))
+        await asyncio.gather(*(reconnect(number) for number in range(devices)))
         kinds = dict(rig.edge.sessions.finals)
-    out: dict[str, Any] = {"devices": devices, "turned_off": turned, "finals": kinds}
+    out: dict[str, Any] = {"devices": devices, "turned_off": turned_off, "finals": kinds}
     for name, times in finished.items():
         times.sort()
         out[name] = {"count": len(times), "median_s": times[len(times) // 2], "last_s": times[-1]}
@@ -339,42 +339,42 @@
 # ----------------------------------------------------------------------------------------------------------
 
 
-def measure(given: argparse.Namespace) -> dict[str, Any]:
-    sizes = [int(size) for size in given.sizes.split(",")]
-    found: dict[str, Any] = {"memory": [], "resumes": []}
+def measure(arguments: argparse.Namespace) -> dict[str, Any]:
+    sizes = [int(size) for size in arguments.sizes.split(",")]
+    result: dict[str, Any] = {"memory": [], "resumes": []}
     for size in sizes:
         for what in ("idle", "finished", "tombstone"):
             print(f"memory of {size} {what}", file=sys.stderr, flush=True)
-            found["memory"].append(fresh(SCRIPT, "--part", "memory", what, str(size)))
-        found["resumes"].append(fresh(SCRIPT, "--part", "resumes", str(size), "20000"))
-    print("CPU an event", file=sys.stderr, flush=True)
-    found["cpu"] = fresh(SCRIPT, "--part", "serve", "100", str(given.asks))
-    print(f"a storm of {given.storm}", file=sys.stderr, flush=True)
-    found["storm"] = fresh(SCRIPT, "--part", "storm", str(given.storm))
-    return found
+            result["memory"].append(run_in_new_process(SCRIPT, "--part", "memory", what, str(size)))
+        result["resumes"].append(run_in_new_process(SCRIPT, "--part", "resumes", str(size), "20000"))
+    print("CPU per event", file=sys.stderr, flush=True)
+    result["cpu"] = run_in_new_process(SCRIPT, "--part", "serve", "100", str(arguments.asks))
+    print(f"reconnect storm of {arguments.storm} devices", file=sys.stderr, flush=True)
+    result["storm"] = run_in_new_process(SCRIPT, "--part", "storm", str(arguments.storm))
+    return result
 
 
-def show(found: dict[str, Any]) -> None:
-    for row in found["memory"]:
+def show(result: dict[str, Any]) -> None:
+    for row in result["memory"]:
         print(f"{row['what']:>10} x {row['count']:>6}: {row['bytes_each']:7.0f} bytes, {row['us_each']:6.1f} us each")
-    for row in found["resumes"]:
-        print(f"resumes at {row['sessions']:>6} sessions: {row['per_second']:,.0f} a second of CPU")
-    for wire, value in found["cpu"]["us_an_event"].items():
-        ratio = found["cpu"]["ratio"].get(wire, 1.0)
-        print(f"{wire:>10}: {value:5.1f} us of CPU an event, {ratio:.2f} times the platform's front")
-    storm = found["storm"]
-    print(f"storm of {storm['devices']}: {storm['turned_off']} sent off, {storm['finals']}")
+    for row in result["resumes"]:
+        print(f"resumes at {row['sessions']:>6} sessions: {row['per_second']:,.0f} per second of CPU")
+    for wire, value in result["cpu"]["us_an_event"].items():
+        ratio = result["cpu"]["ratio"].get(wire, 1.0)
+        print(f"{wire:>10}: {value:5.1f} us of CPU per event, {ratio:.2f} times the platform's front")
+    storm = result["storm"]
+    print(f"storm of {storm['devices']} devices: {storm['turned_off']} turned off, {storm['finals']}")
     for name in ("resumes", "asks"):
         row = storm[name]
         print(f"  {row['count']} {name}: median {row['median_s']:.1f} s, last {row['last_s']:.1f} s")
 
 
-def plot(found: dict[str, Any], folder: Path) -> None:
+def plot(result: dict[str, Any], folder: Path) -> None:
     from pearstall.lab.plots import figure, save, shares
 
-    drawn, (left, right) = figure(columns=2)
+    drawing, (left, right) = figure(columns=2)
     for what in ("idle", "finished", "tombstone"):
-        rows = [row for row in found["memory"] if row["what"] == what]
+        rows = [row for row in result["memory"] if row["what"] == what]
         left.plot([row["count"] for row in rows], [row["bytes_each"] for row in rows], marker="o", label=what)
     left.set_xscale("log")
     left.set_xlabel("sessions")
@@ -382,9 +382,9 @@
     left.set_ylim(bottom=0)
     left.legend()
     for name in ("resumes", "asks"):
-        shares(right, found["storm"]["times"][name], "seconds after the cell is back")
+        shares(right, result["storm"]["times"][name], "seconds after the cell recovered")
     right.legend(["resumes", "new asks"])
-    save(drawn, folder / "edge.svg")
+    save(drawing, folder / "edge.svg")
 
 
 def part(words: list[str]) -> None:
@@ -405,7 +405,7 @@
 
 def options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--sizes", default="1000,10000,50000")
-    parser.add_argument("--asks", type=int, default=80, help="for the CPU of an event, by each wire")
+    parser.add_argument("--asks", type=int, default=80, help="asks per wire, for the CPU per event")
     parser.add_argument("--storm", type=int, default=2000)
 
 
--- a/benchmarks/laboratory.py
+++ b/benchmarks/laboratory.py
@@ -1,11 +1,11 @@
-"""The laboratory's own speed: engine events and callbacks a second, and how a run grows with its size.
+"""The laboratory's own speed: engine tokens and callbacks per second, and the cost of a run by its size.
 
     python benchmarks/laboratory.py [--sizes 4x20,20x200,100x2000] [--seeds 200] [--devices 500,2000]
                                     [--no-fidelity] [--json] [--plots FOLDER]
 
-Sizes are routers x servers; the load grows with the servers. Each size runs in a process of its own. `--seeds` plays
-that many seeds of mixed faults, over all cores, and counts breaches. `--devices`: worlds with so many devices at the
-routers' edges, each with a session. Fidelity plays the same days in virtual time and on real loopback sockets.
+Sizes are routers x servers; the load grows with the servers. Each size runs in its own process. `--seeds` runs that
+many seeds of mixed faults on all cores and counts breaches. `--devices`: worlds with these numbers of devices at the
+routers' edges, each with a session. Fidelity runs the same days in virtual time and on real loopback sockets.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from benchmarks.common import fresh, main, resident  # noqa: E402
+from benchmarks.common import main, resident, run_in_new_process  # noqa: E402
 from pearstall.lab.clock import VirtualLoop  # noqa: E402
 from pearstall.lab.devices import Devices  # noqa: E402
 from pearstall.lab.engine import Engine, EngineSettings  # noqa: E402
@@ -42,42 +42,43 @@
 
 
 def engine() -> dict[str, float]:
-    """Tokens a second of one core, with no server or router around the engine."""
+    """Tokens per second on one core, from an engine without servers or routers."""
     loop = VirtualLoop()
     made = Engine(EngineSettings(slots=32, queue=1000, blocks=100_000), loop)
-    told = 0
+    received = 0
 
-    def hear(count: int, done: bool) -> None:
-        nonlocal told
-        told += count
+    def on_tokens(count: int, done: bool) -> None:
+        nonlocal received
+        received += count
 
     for number in range(1000):
-        made.submit(500, [(number % 20, at) for at in range(31)], 400, hear)
+        made.submit(500, [(number % 20, at) for at in range(31)], 400, on_tokens)
     began = time.perf_counter()
     while made.load:
         loop._run_once()  # type: ignore[attr-defined]
     seconds = time.perf_counter() - began
-    return {"tokens_a_second": told / seconds, "steps_a_second": made.counters.steps / seconds}
+    return {"tokens_a_second": received / seconds, "steps_a_second": made.counters.steps / seconds}
 
 
 def size(routers: int, servers: int, seconds: float) -> dict[str, Any]:
-    """A calm day at that size: half of what its servers can carry."""
+    """A day without overload at this size: the load is half of the servers' capacity."""
     rate = 0.7 * servers
     scenario = Scenario(seconds=seconds, routers=routers, servers=servers, rate=lambda t: rate, most_rate=rate,
                         classes=[Klass("chat")],
                         faults=[Fault("slow", seconds / 3, seconds / 3, share=0.05)])  # fmt: skip
     before = resident()
-    found = play(scenario, 1)
+    result = play(scenario, 1)
     return {
-        "routers": routers, "servers": servers, "asked": found.asked, "worth": found.worth,
-        "breaches": len(found.breaches), "simulated_s": found.seconds, "real_s": found.real_seconds,
-        "callbacks_a_second": found.events / found.real_seconds, "us_an_ask": found.real_seconds / found.asked * 1e6,
-        "memory_mb": (resident() - before) / 1e6, "sessions": scenario.most_rate * seconds, "digest": found.digest,
+        "routers": routers, "servers": servers, "asked": result.asked, "worth": result.worth,
+        "breaches": len(result.breaches), "simulated_s": result.seconds, "real_s": result.real_seconds,
+        "callbacks_a_second": result.events / result.real_seconds,
+        "us_an_ask": result.real_seconds / result.asked * 1e6,
+        "memory_mb": (resident() - before) / 1e6, "sessions": scenario.most_rate * seconds, "digest": result.digest,
     }  # fmt: skip
 
 
 def devices(count: int) -> dict[str, Any]:
-    """So many phones, each asking about once, moving between cells; one reset of them all in the middle."""
+    """`count` phones that send about one ask each and move between cells; in the middle all connections are reset."""
     scenario = Scenario(
         seconds=30, routers=10, servers=max(20, count // 40), zones=2, rate=lambda t: 2.0, most_rate=2.0,
         classes=[Klass("chat", give_up=6.0)],
@@ -85,13 +86,13 @@
         faults=[Fault("reconnect-storm", 15.0)],
     )  # fmt: skip
     before = resident()
-    found = play(scenario, 1)
-    waits = sorted(found.device_waits)
+    result = play(scenario, 1)
+    waits = sorted(result.device_waits)
     return {
-        "devices": count, "asked": found.devices["asked"], "attempts": found.devices["attempts"],
-        "held_served": found.devices["held served"], "wait_p99": waits[len(waits) * 99 // 100],
-        "breaches": len(found.breaches), "simulated_s": found.seconds, "real_s": found.real_seconds,
-        "ms_an_ask": found.real_seconds / found.devices["asked"] * 1000, "memory_mb": (resident() - before) / 1e6,
+        "devices": count, "asked": result.devices["asked"], "attempts": result.devices["attempts"],
+        "held_served": result.devices["held served"], "wait_p99": waits[len(waits) * 99 // 100],
+        "breaches": len(result.breaches), "simulated_s": result.seconds, "real_s": result.real_seconds,
+        "ms_an_ask": result.real_seconds / result.devices["asked"] * 1000, "memory_mb": (resident() - before) / 1e6,
     }  # fmt: skip
 
 
@@ -109,22 +110,22 @@
 
 
 def fidelity(day: str, policy: str, where: str) -> dict[str, Any]:
-    """One run of a day, 15 s, 2 routers and 6 servers; both places have the same load and draws."""
+    """One run of a day: 15 s, 2 routers, 6 servers. Load and random draws are the same in both environments."""
     rate = 22.0 if day == "crowd" else 6.0
     scenario = Scenario(seconds=15, routers=2, servers=6, rate=lambda t: rate, most_rate=rate, latency=0.00005,
                         jitter=0.0, faults=DAYS[day], **POLICIES[policy])  # fmt: skip
-    found = (play if where == "virtual" else play_on_sockets)(scenario, 7)
-    waits = sorted(found.first["chat"])
+    result = (play if where == "virtual" else play_on_sockets)(scenario, 7)
+    waits = sorted(result.first["chat"])
     return {
-        "day": day, "policy": policy, "where": where, "asked": found.asked, "worth": found.worth,
-        "executions": found.executions, "made": found.made, "breaches": len(found.breaches), "kinds": found.kinds,
-        **{f"p{part}": waits[len(waits) * part // 100] for part in (50, 90, 99)}, "real_s": found.real_seconds,
+        "day": day, "policy": policy, "where": where, "asked": result.asked, "worth": result.worth,
+        "executions": result.executions, "made": result.made, "breaches": len(result.breaches), "kinds": result.kinds,
+        **{f"p{part}": waits[len(waits) * part // 100] for part in (50, 90, 99)}, "real_s": result.real_seconds,
     }  # fmt: skip
 
 
 def one_seed(seed: int) -> tuple[int, str, float, list[str]]:
-    found = play(MIXED, seed)
-    return seed, found.digest, found.worth, found.breaches
+    result = play(MIXED, seed)
+    return seed, result.digest, result.worth, result.breaches
 
 
 def seeds(count: int) -> dict[str, Any]:
@@ -140,51 +141,51 @@
     }  # fmt: skip
 
 
-def measure(given: argparse.Namespace) -> dict[str, Any]:
-    found: dict[str, Any] = {"engine": fresh(SCRIPT, "--part", "engine"), "sizes": []}
-    for text in given.sizes.split(","):
+def measure(arguments: argparse.Namespace) -> dict[str, Any]:
+    result: dict[str, Any] = {"engine": run_in_new_process(SCRIPT, "--part", "engine"), "sizes": []}
+    for text in arguments.sizes.split(","):
         print(f"size {text}", file=sys.stderr, flush=True)
         routers, _, servers = text.partition("x")
         seconds = max(4.0, min(40.0, 4000 / int(servers)))
-        found["sizes"].append(fresh(SCRIPT, "--part", "size", routers, servers, str(seconds)))
-    found["devices"] = []
-    for text in given.devices.split(",") if given.devices else ():
+        result["sizes"].append(run_in_new_process(SCRIPT, "--part", "size", routers, servers, str(seconds)))
+    result["devices"] = []
+    for text in arguments.devices.split(",") if arguments.devices else ():
         print(f"devices {text}", file=sys.stderr, flush=True)
-        found["devices"].append(fresh(SCRIPT, "--part", "devices", text))
-    if given.fidelity:
-        found["fidelity"] = []
+        result["devices"].append(run_in_new_process(SCRIPT, "--part", "devices", text))
+    if arguments.fidelity:
+        result["fidelity"] = []
         for day in DAYS:
             for policy in POLICIES:
                 print(f"fidelity: {day}, {policy}", file=sys.stderr, flush=True)
                 for where in ("virtual", "sockets"):
-                    found["fidelity"].append(fresh(SCRIPT, "--part", "fidelity", day, policy, where))
-    if given.seeds:
-        print(f"{given.seeds} seeds", file=sys.stderr, flush=True)
-        found["seeds"] = fresh(SCRIPT, "--part", "seeds", str(given.seeds))
-    return found
+                    result["fidelity"].append(run_in_new_process(SCRIPT, "--part", "fidelity", day, policy, where))
+    if arguments.seeds:
+        print(f"{arguments.seeds} seeds", file=sys.stderr, flush=True)
+        result["seeds"] = run_in_new_process(SCRIPT, "--part", "seeds", str(arguments.seeds))
+    return result
 
 
-def show(found: dict[str, Any]) -> None:
-    print(f"engine: {found['engine']['tokens_a_second']:,.0f} tokens a second, "
-          f"{found['engine']['steps_a_second']:,.0f} steps")  # fmt: skip
-    for row in found["sizes"]:
+def show(result: dict[str, Any]) -> None:
+    print(f"engine: {result['engine']['tokens_a_second']:,.0f} tokens per second, "
+          f"{result['engine']['steps_a_second']:,.0f} steps")  # fmt: skip
+    for row in result["sizes"]:
         print(
             f"{row['routers']:>4} x {row['servers']:<5} {row['asked']:>6} asks: {row['simulated_s']:.0f} s in "
-            f"{row['real_s']:.1f} s, {row['callbacks_a_second']:,.0f} callbacks a second, "
-            f"{row['us_an_ask']:,.0f} us an ask, "
+            f"{row['real_s']:.1f} s, {row['callbacks_a_second']:,.0f} callbacks per second, "
+            f"{row['us_an_ask']:,.0f} us per ask, "
             f"{row['memory_mb']:.0f} MB, {row['breaches']} breaches, worth {row['worth']:.3f}"
         )
-    for row in found["devices"]:
+    for row in result["devices"]:
         print(f"{row['devices']:>6} devices: {row['asked']} asks over {row['attempts']} connections, "
               f"{row['held_served']} served, wait p99 {row['wait_p99']:.1f} s; {row['simulated_s']:.0f} s in "
-              f"{row['real_s']:.0f} s, {row['ms_an_ask']:.1f} ms an ask, {row['memory_mb']:.0f} MB, "
+              f"{row['real_s']:.0f} s, {row['ms_an_ask']:.1f} ms per ask, {row['memory_mb']:.0f} MB, "
               f"{row['breaches']} breaches")  # fmt: skip
-    for row in found.get("fidelity", []):
+    for row in result.get("fidelity", []):
         print(f"{row['day']:<7}{row['policy']:<12}{row['where']:<8} worth {row['worth']:.4f}  p50 {row['p50']:.3f}  "
               f"p90 {row['p90']:.3f}  p99 {row['p99']:.3f}  {row['executions']} executions, {row['made']} tokens, "
               f"{row['breaches']} breaches")  # fmt: skip
-    if "seeds" in found:
-        row = found["seeds"]
+    if "seeds" in result:
+        row = result["seeds"]
         print(f"{row['seeds']} seeds of mixed faults in {row['seconds']:.0f} s: {len(row['breaches'])} breaches, "
               f"{row['digests']} digests, {row['repeated_alike']} of {row['of']} repeated alike, "
               f"worth {row['worth']:.3f}")  # fmt: skip
@@ -192,20 +193,20 @@
             print("  " + text)
 
 
-def plot(found: dict[str, Any], folder: Path) -> None:
+def plot(result: dict[str, Any], folder: Path) -> None:
     from pearstall.lab.plots import figure, save
 
-    drawn, (left, right) = figure(columns=2)
-    servers = [row["servers"] for row in found["sizes"]]
-    left.plot(servers, [row["us_an_ask"] for row in found["sizes"]], marker="o")
-    left.set_ylabel("us of a core an ask")
-    right.plot(servers, [row["memory_mb"] for row in found["sizes"]], marker="o")
+    drawing, (left, right) = figure(columns=2)
+    servers = [row["servers"] for row in result["sizes"]]
+    left.plot(servers, [row["us_an_ask"] for row in result["sizes"]], marker="o")
+    left.set_ylabel("CPU us per ask")
+    right.plot(servers, [row["memory_mb"] for row in result["sizes"]], marker="o")
     right.set_ylabel("MB")
     for axes in (left, right):
         axes.set_xscale("log")
         axes.set_xlabel("servers")
         axes.set_ylim(bottom=0)
-    save(drawn, folder / "laboratory.svg")
+    save(drawing, folder / "laboratory.svg")
 
 
 def part(words: list[str]) -> None:
--- a/benchmarks/site_variants.py
+++ b/benchmarks/site_variants.py
@@ -1,11 +1,11 @@
-"""Variants of a site for the operators' bench, so that nothing in the router fits one deployment only.
+"""Writes variants of a site for the operators' bench, to check that the router isn't tuned to a single deployment.
 
     python benchmarks/site_variants.py [SITE.toml] [--output FOLDER]    # with requirements-dev.txt
 
 Reads the site file and writes `many-classes.toml`, `one-class.toml` and `pushed-lists.toml`, with copies of the files
-that the bench wants beside a site. They differ from the site and from each other in the names and number of classes,
-in effects, shares, limits, deadlines, costs, the window for repeats and the drain grace. What is written stays out of
-the repository.
+that the bench requires next to a site. They differ from the site and from each other in the names and number of
+classes, in effects, shares, limits, deadlines, costs, the deduplication window and the drain grace. The files written
+aren't committed to the repository.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 ROOT = Path(__file__).parent.parent
 SITE = ROOT.parent / "given" / "kit" / "sites" / "punten-assistent.toml"
 OUTPUT = ROOT / "deploy" / "sites"
-BESIDE = ("real.json", "wire.json", "unlock.txt")
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")
 
 Table = dict[str, Any]
 
 
 class MissingKit(Exception):
-    """The site or a file beside it is not there."""
+    """The site file or a file that belongs with it is missing."""
 
 
 def request_class(
@@ -50,7 +50,7 @@
 
 
 def many_classes(site: Table) -> Table:
-    """Four classes of every effect, one with a short deadline; few tenants; a long drain grace."""
+    """Four classes that cover every effect, one with a short deadline; few tenants; a long drain grace."""
     variant = copy.deepcopy(site)
     variant["name"] = "many-classes"
     long_prompts, short_prompts = site["fam"]["class"][:2]
@@ -79,7 +79,7 @@
 
 
 def one_class(site: Table) -> Table:
-    """One class; two zones; a short drain grace; streams that can't be resumed; slower connects."""
+    """One class; two zones; a short drain grace; streams that can't be resumed; a longer connect timeout."""
     variant = copy.deepcopy(site)
     variant["name"] = "one-class"
     variant["class"] = [request_class("assist", 1.0, 1200, 4000, 1, "keyed", group="all", window_ms=2500)]
@@ -99,7 +99,7 @@
 
 
 def pushed_lists(site: Table) -> Table:
-    """Lists come by an agent of each router's own; repeats within a zone or a cell only; long connects, no grace."""
+    """Lists pushed by an agent of each router; deduplication by zone or cell; long connect timeout; short grace."""
     variant = copy.deepcopy(site)
     variant["name"] = "pushed-lists"
     long_prompts, short_prompts = site["fam"]["class"][:2]
@@ -121,12 +121,12 @@
 
 
 def write_variants(source: Path, output: Path) -> list[Path]:
-    missing = [path for path in (source, *(source.parent / name for name in BESIDE)) if not path.is_file()]
+    missing = [path for path in (source, *(source.parent / name for name in COMPANION_FILES)) if not path.is_file()]
     if missing:
         raise MissingKit(f"no kit here: {missing[0]} is missing")
     site = tomllib.loads(source.read_text())
     output.mkdir(parents=True, exist_ok=True)
-    for name in BESIDE:
+    for name in COMPANION_FILES:
         shutil.copyfile(source.parent / name, output / name)
     written = []
     for variant in (many_classes(site), one_class(site), pushed_lists(site)):
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -1,10 +1,11 @@
-"""What a router costs by the size of its fleet: a list, a pick, memory.
+"""The cost of a router by the size of its fleet: CPU per list and per request, and memory.
 
     python benchmarks/size.py [--json] [--plots FOLDER]
 
-For 100, 300 and 1,024 routers in the settings and as many servers listed: milliseconds a request with its answer
-(`warm`), with half of the servers replaced (`half cold`) and with room nowhere (`crowded`); a list of half of them;
-bytes a server after 2,000 requests. Decisions alone, in event time; ratios within one run are what counts.
+For 100, 300 and 1,024 routers in the settings and as many servers in the list: milliseconds per request with its
+answer (`warm`), with half of the servers replaced (`half cold`) and with every server saturated (`crowded`);
+milliseconds for a list of half of the servers; bytes per server after 2,000 requests. Only the decisions are
+measured, in event time; compare ratios within one run, not absolute values.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from benchmarks.common import fresh, main  # noqa: E402
+from benchmarks.common import main, run_in_new_process  # noqa: E402
 from pearstall.choice import Router  # noqa: E402
 from pearstall.interface import (  # noqa: E402
     FirstToken,
@@ -42,25 +43,25 @@
 
 
 class Fleet:
-    """One router before so many servers, all answering at once."""
+    """One router with `size` servers that all answer immediately."""
 
     def __init__(self, size: int) -> None:
         rules = {"zones": 4, "cold_time": 20 * S, "cold_share": 0.12, "tip_multiple": 3.0, "max_attempts": 3}
-        made = Settings.from_mapping({"classes": CLASSES, "gateways": size, "quota_rate": 3.0 * size, **rules})
+        settings = Settings.from_mapping({"classes": CLASSES, "gateways": size, "quota_rate": 3.0 * size, **rules})
         self.size, self.now, self.asked = size, 100 * S, 0
-        self.router = Router(made, 1)
+        self.router = Router(settings, 1)
         self.router.start(self.now)
         self.list(ListKind.FULL, range(size), 0)
 
     def list(self, kind: ListKind, ids: range, started: int) -> float:
-        """Milliseconds that it took."""
+        """Delivers a server list; returns milliseconds."""
         rows = [Replica(id, id % 4, 0, State.READY, started=started) for id in ids]
         began = time.perf_counter()
         self.router.handle(self.now, ReplicaList(kind, rows))
         return 1e3 * (time.perf_counter() - began)
 
     def ask(self, count: int) -> float:
-        """Milliseconds a request."""
+        """Plays `count` requests; returns milliseconds per request."""
         began = time.perf_counter()
         for _ in range(count):
             self.asked += 1
@@ -82,7 +83,7 @@
     tracemalloc.start()
     fleet = Fleet(size)
     fleet.ask(2000)
-    held = tracemalloc.get_traced_memory()[0]
+    used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     warm = fleet.ask(400)
     listed = fleet.list(ListKind.DELTA, range(0, size, 2), fleet.now)
@@ -90,32 +91,32 @@
     for replica in fleet.router.replicas.values():
         replica.streams = 9
     fleet.router.saturated = True
-    return {"warm": warm, "half cold": cold, "crowded": fleet.ask(100), "list": listed, "bytes a server": held / size}
+    return {"warm": warm, "half cold": cold, "crowded": fleet.ask(100), "list": listed, "bytes a server": used / size}
 
 
-def measure(given: argparse.Namespace) -> dict[str, Any]:
-    if given.part:
-        return {"part": part(given.part)}
-    return {str(size): fresh(__file__, "--part", str(size), "--json")["part"] for size in SIZES}
+def measure(arguments: argparse.Namespace) -> dict[str, Any]:
+    if arguments.part:
+        return {"part": part(arguments.part)}
+    return {str(size): run_in_new_process(__file__, "--part", str(size), "--json")["part"] for size in SIZES}
 
 
-def show(found: dict[str, Any]) -> None:
-    rows = list(next(iter(found.values())))
+def show(result: dict[str, Any]) -> None:
+    rows = list(next(iter(result.values())))
     print(f"{'servers':>8}" + "".join(f"{name:>16}" for name in rows))
-    for size, row in found.items():
+    for size, row in result.items():
         print(f"{size:>8}" + "".join(f"{row[name]:>16.2f}" for name in rows))
 
 
-def plot(found: dict[str, Any], folder: Path) -> None:
+def plot(result: dict[str, Any], folder: Path) -> None:
     from pearstall.lab.plots import figure, save
 
-    drawn, (axes,) = figure(columns=1)
+    drawing, (axes,) = figure(columns=1)
     for name in ("warm", "half cold", "crowded", "list"):
-        axes.plot([int(size) for size in found], [row[name] for row in found.values()], marker=".", label=name)
+        axes.plot([int(size) for size in result], [row[name] for row in result.values()], marker=".", label=name)
     axes.set_xlabel("servers")
     axes.set_ylabel("ms")
     axes.legend(fontsize=6)
-    save(drawn, folder / "size.svg")
+    save(drawing, folder / "size.svg")
 
 
 def options(parser: argparse.ArgumentParser) -> None:
--- a/benchmarks/terms.py
+++ b/benchmarks/terms.py
@@ -1,11 +1,12 @@
-"""Terms of the operators' acceptance, counted over the traces of all routers; benchmarks/fleet.py prints them.
-
-`clients that left`: requests whose client was found gone before their first attempt, and those sent on all the
-same. `by prompt length`: the share answered in each tenth of a class's requests, shortest prompts first, and that of
-the last tenth against the whole class. `sessions refused throughout`: their share against what chance gives, reckoned
-from the class's share of refusals and the number of requests of each session. `turning all away`: routers that
-refused all of `TURNED_AWAY_LEAST` requests or more over `TURNED_AWAY_SECONDS` with no attempt in between. `loop held
-up`: by how much the loop's own timer came late at most, which is how long any event may have waited there.
+"""Counts for the operators' terms of acceptance, over the traces of all routers; benchmarks/fleet.py prints them.
+
+`clients that left`: requests whose client disconnected before their first attempt, and those that were sent to a
+server regardless. `by prompt length`: the share answered in each tenth of a class's requests, shortest prompts
+first, and the last tenth's share relative to the whole class. `sessions refused throughout`: the share of sessions
+whose every request was refused, and the share expected by chance from the class's refusals and the number of
+requests of each session. `turning all away`: routers that refused `TURNED_AWAY_LEAST` or more requests in a row
+over at least `TURNED_AWAY_SECONDS`, with no attempt in between. `loop held up`: the longest delay of the event
+loop's own timer, which is how long any event may have waited.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 
 import msgspec
 
-SENT_ON_LATE = 300_000  # microseconds
+LATE_ATTEMPT = 300_000  # microseconds after the client's disconnect, after which an attempt counts
 TURNED_AWAY_LEAST = 15
 TURNED_AWAY_SECONDS = 4
 TENTHS = 10
 
 
-class Asked(msgspec.Struct):
-    """One request at one router."""
+class ReceivedRequest(msgspec.Struct):
+    """One request as one router received it."""
 
     class_index: int
     session: int
@@ -30,78 +31,80 @@
     sent: bool = False
     answered: bool = False
     refused: bool = False
-    left: int = 0  # when its client was found gone; 0: it was not
+    left_at: int = 0  # when the client disconnected; 0: it didn't
 
 
 class Terms:
-    """Told every row of every trace in the order of time."""
+    """Counts from every row of all traces, recorded in order of time."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
-        self.asked: dict[tuple[int, int, int], Asked] = {}
+        self.asked: dict[tuple[int, int, int], ReceivedRequest] = {}
         self.starts: dict[int, int] = defaultdict(int)
-        self.sent_on = 0
-        self.turning: dict[int, tuple[int, int]] = {}  # by router: refusals since an attempt, and since when
+        self.sent_after_disconnect = 0
+        self.refusals_in_a_row: dict[int, tuple[int, int]] = {}  # by router: count, time of the first
         self.turned_away: set[int] = set()
-        self.held_up = 0.0
+        self.longest_delay = 0.0
 
-    def tell(self, at: int, who: int, row: list[Any]) -> None:
+    def record(self, at: int, router: int, row: list[Any]) -> None:
         kind = row[0]
         if kind == "start":
-            self.starts[who] += 1
+            self.starts[router] += 1
             self.names = row[4] if len(row) > 4 else self.names
         elif kind == "cpu":
-            self.held_up = max(self.held_up, row[3] if len(row) > 3 else 0.0)
+            self.longest_delay = max(self.longest_delay, row[3] if len(row) > 3 else 0.0)
         elif kind in ("Request", "FirstToken", "Outcome", "ClientGone", "Timer") and len(row) > 3:
-            self._event(at, who, kind, row[2])
+            self._on_event(at, router, kind, row[2])
             for name, action in row[3]:
-                self._action(at, who, name, action)
+                self._on_action(at, router, name, action)
 
-    def _find(self, who: int, request: int | None) -> Asked | None:
-        return self.asked.get((who, self.starts[who], request)) if request is not None else None
+    def _find(self, router: int, request: int | None) -> ReceivedRequest | None:
+        return self.asked.get((router, self.starts[router], request)) if request is not None else None
 
-    def _event(self, at: int, who: int, kind: str, event: dict[str, Any]) -> None:
+    def _on_event(self, at: int, router: int, kind: str, event: dict[str, Any]) -> None:
         if kind == "Request":
-            self.asked[who, self.starts[who], event["id"]] = Asked(
+            self.asked[router, self.starts[router], event["id"]] = ReceivedRequest(
                 event["class_index"], event.get("session", 0), event.get("prompt_tokens", 0.0)
             )
             return
-        asked = self._find(who, event.get("request"))
+        asked = self._find(router, event.get("request"))
         if asked is None:
             return
         if kind == "FirstToken":
             asked.answered = True
-        elif kind == "ClientGone" and not asked.left:
-            asked.left = at
+        elif kind == "ClientGone" and not asked.left_at:
+            asked.left_at = at
 
-    def _action(self, at: int, who: int, name: str, action: dict[str, Any]) -> None:
-        asked = self._find(who, action.get("request"))
+    def _on_action(self, at: int, router: int, name: str, action: dict[str, Any]) -> None:
+        asked = self._find(router, action.get("request"))
         if asked is None:
             return
         if name == "Send":
-            self.turning.pop(who, None)
+            self.refusals_in_a_row.pop(router, None)
             asked.sent = True
-            self.sent_on += bool(asked.left) and at - asked.left > SENT_ON_LATE
+            self.sent_after_disconnect += bool(asked.left_at) and at - asked.left_at > LATE_ATTEMPT
         elif name == "Refuse":
             asked.refused = True
-            count, since = self.turning.get(who, (0, at))
-            self.turning[who] = count + 1, since
+            count, since = self.refusals_in_a_row.get(router, (0, at))
+            self.refusals_in_a_row[router] = count + 1, since
             if count + 1 >= TURNED_AWAY_LEAST and at - since >= TURNED_AWAY_SECONDS * 1_000_000:
-                self.turned_away.add(who)
+                self.turned_away.add(router)
 
-    def found(self) -> dict[str, Any]:
-        by_class: dict[int, list[Asked]] = defaultdict(list)
+    def results(self) -> dict[str, Any]:
+        by_class: dict[int, list[ReceivedRequest]] = defaultdict(list)
         for asked in self.asked.values():
             by_class[asked.class_index].append(asked)
-        left = [asked for asked in self.asked.values() if asked.left and not asked.sent]
+        left = [asked for asked in self.asked.values() if asked.left_at and not asked.sent]
         return {
-            "clients that left": {"before an attempt": len(left), "sent on all the same": self.sent_on},
-            "by prompt length": {self._name(number): by_length(its) for number, its in sorted(by_class.items())},
+            "clients that left": {"before an attempt": len(left), "sent on all the same": self.sent_after_disconnect},
+            "by prompt length": {
+                self._name(number): by_length(requests) for number, requests in sorted(by_class.items())
+            },
             "sessions refused throughout": {
-                self._name(number): refused_throughout(its) for number, its in sorted(by_class.items())
+                self._name(number): refused_throughout(one) for number, one in sorted(by_class.items())
             },
             "turning all away": f"{len(self.turned_away)} of {len(self.starts)}",
-            "loop held up, ms": round(1e3 * self.held_up, 1),
+            "loop held up, ms": round(1e3 * self.longest_delay, 1),
         }
 
     def _name(self, number: int) -> str:
@@ -112,23 +115,23 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def by_length(its: list[Asked]) -> dict[str, Any]:
-    ordered = sorted(its, key=lambda asked: asked.prompt_tokens)
+def by_length(requests: list[ReceivedRequest]) -> dict[str, Any]:
+    ordered = sorted(requests, key=lambda asked: asked.prompt_tokens)
     bounds = [len(ordered) * tenth // TENTHS for tenth in range(TENTHS + 1)]
     tenths = [
         share([asked.answered for asked in ordered[begin:end]])
         for begin, end in zip(bounds, bounds[1:], strict=False)
     ]
-    whole = share([asked.answered for asked in its])
+    whole = share([asked.answered for asked in requests])
     return {
         "answered": [round(one, 2) for one in tenths],
         "the longest against all": round(tenths[-1] / whole, 2) if whole else 0.0,
     }
 
 
-def refused_throughout(its: list[Asked]) -> dict[str, float]:
+def refused_throughout(requests: list[ReceivedRequest]) -> dict[str, float]:
     sessions: dict[int, list[bool]] = defaultdict(list)
-    for asked in its:
+    for asked in requests:
         if asked.session:
             sessions[asked.session].append(asked.refused)
     chance_of_one = share([refused for turns in sessions.values() for refused in turns])
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,6 +1,6 @@
-"""A toy model server: it answers each chat or completion with the words of the last message, a word an event.
+"""A toy model server: it answers each chat or completion with the words of the last message, one word per event.
 
-    python examples/toy_server.py 7101
+python examples/toy_server.py 7101
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import sys
 from typing import Any
 
-STEP = 0.05  # seconds a word
+STEP = 0.05  # seconds per word
 
 
 def words_of(body: dict[str, Any]) -> list[str]:
@@ -45,7 +45,7 @@
     await writer.drain()
 
 
-async def link(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     try:
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
@@ -54,13 +54,13 @@
             print(head[0], flush=True)
             await answer(writer, head[0].split(" ")[1], json.loads(body or b"{}"))
     except (asyncio.IncompleteReadError, ConnectionError):
-        pass  # the router has gone
+        pass  # the router closed the connection
     finally:
         writer.close()
 
 
 async def main(port: int) -> None:
-    server = await asyncio.start_server(link, "127.0.0.1", port)
+    server = await asyncio.start_server(serve_connection, "127.0.0.1", port)
     print(f"toy model server on 127.0.0.1:{port}", flush=True)
     await server.serve_forever()
 
--- a/pearstall/cli/demo.py
+++ b/pearstall/cli/demo.py
@@ -30,7 +30,7 @@
 async def run_demo(seed: int) -> int:
     """Returns the exit code: 0 if every step had the expected result."""
     slow = Behaviour(gap=(0.03, 0.06), events=(14, 14), size=(3, 8))
-    faulty = Behaviour(ways={"error": 1.0}, gap=(0.03, 0.06))
+    faulty = Behaviour(outcome_weights={"error": 1.0}, gap=(0.03, 0.06))
     noted: list[tuple[str, dict[str, object]]] = []
 
     def note(event: str, **fields: object) -> None:
@@ -53,7 +53,7 @@
         print_row("executions", f"{counters.executions}: {counters.outcomes}")
         finals = [fields for event, fields in noted if event == "final"]
         print_row("the edge's log", json.dumps(finals[-1] if finals else {}))
-        passed &= len(finals) == 2 and not rig.books.doubles
+        passed &= len(finals) == 2 and not rig.execution_log.overlapping
     click.secho(
         "\nAll as it should be." if passed else "\nA step did not have the expected result.",
         fg="green" if passed else "red",
@@ -116,12 +116,12 @@
         if failure is None:
             break
         await asyncio.sleep(0.1)
-    executions = rig.books.by_txn.get("phone-1.ask-1", [])
+    executions = rig.execution_log.by_txn.get("phone-1.ask-1", [])
     served = [execution for execution in executions if execution.whole]
     identical = bool(served) and served[-1].events == device_ask.events
     print_row(
         "received", f"{len(device_ask.events)} events, {'byte for byte' if identical else 'NOT'} what the server sent"
     )
     print_row("final record", msgspec.json.encode(device_ask.final).decode())
-    print_row("executions", f"{len(executions)} ({', '.join(execution.way for execution in executions)})")
+    print_row("executions", f"{len(executions)} ({', '.join(execution.outcome for execution in executions)})")
     return identical and not device_ask.breaches and device_ask.final is not None
--- a/pearstall/lab/devices.py
+++ b/pearstall/lab/devices.py
@@ -24,7 +24,7 @@
 from pearstall.lab.ledger import Ledger
 from pearstall.lab.network import Path, set_current_host
 from pearstall.lab.phones import RETRYABLE_CODES, Phone, PhoneBehaviour, PhoneStats
-from pearstall.lab.servers import Books
+from pearstall.lab.servers import ExecutionLog
 from pearstall.net.config import OpenAIConfig
 
 if TYPE_CHECKING:
@@ -116,7 +116,7 @@
         self.world = world
         self.books = DeviceStats()
         answer_latency = 0.005 + 2 * max(world.scenario.latency, world.scenario.cross_latency) + world.scenario.jitter
-        self.ledger = Ledger(Books(world.network.peer_closed), world.loop.time, answer_latency)
+        self.ledger = Ledger(ExecutionLog(world.network.peer_closed), world.loop.time, answer_latency)
         self.open = 0
         self.number = 0
         self.cells = 0
--- a/pearstall/lab/fault_shim.py
+++ b/pearstall/lab/fault_shim.py
@@ -1,10 +1,10 @@
-"""Runs a router whose system calls, clock and log fail by seed.
+"""Runs a router with seeded faults of its system calls, clock and log.
 
     python -m pearstall.lab.fault_shim FAULTS -- ARGUMENTS
 
 FAULTS is JSON in the form of `Faults`. Sockets fail in ways that Linux documents for accept(2), connect(2),
-socket(2), recv(2) and send(2); the wall clock jumps; standard error stops taking lines. The router's code is the real
-one and knows nothing of this. For tests and soaks on loopback alone.
+socket(2), recv(2) and send(2); the wall clock jumps; writes to standard error fail. The router runs its unmodified
+code. For tests and soaks on loopback only.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """The chance of each fault, for each call."""
+    """The probability of each fault per call, and faults that occur a fixed number of times."""
 
     seed: int = 1
     accept: float = 0.0
@@ -48,35 +48,35 @@
     make_socket: float = 0.0
     receive: float = 0.0
     send: float = 0.0
-    interrupt: float = 0.0  # EINTR from recv and send: nothing is lost, the call is to be made again
-    short: float = 0.0  # one byte is read or written where more would go
+    interrupt: float = 0.0  # EINTR from recv and send: no data is lost, the caller has to retry
+    short: float = 0.0  # a short read or write of one byte
     log: float = 0.0
-    bind_failures: int = 0  # of the first calls, as while the process before holds the address
-    file_failures: int = 0  # of the first reads of a configuration (.json) before it listens
-    reload_failures: int = 0  # and after that
-    clock_steps: list[tuple[float, float]] = []  # seconds since the start, and by how much the wall clock jumps then
+    bind_failures: int = 0  # how many of the first calls fail, as while a previous process still holds the address
+    file_failures: int = 0  # how many of the first reads of a configuration file (.json) fail before it listens
+    reload_failures: int = 0  # the same once it listens
+    clock_steps: list[tuple[float, float]] = []  # seconds since the start, and the jump of the wall clock in seconds
 
 
 class Injector:
-    """Draws faults. Off until the program listens: a start that can't make its listener fails, as it must."""
+    """Draws faults. Inactive until the program listens, since a router that can't open its listener has to exit."""
 
     def __init__(self, faults: Faults) -> None:
         self.faults = faults
         self.random = Random(faults.seed)
         self.active = False
         self.binds = 0
-        self.failed_files = {False: 0, True: 0}  # before it listens, and after
+        self.failed_reads = {False: 0, True: 0}  # failed reads, keyed by `active`
 
-    def maybe_raise(self, chance: float, numbers: Sequence[int]) -> None:
+    def maybe_raise(self, chance: float, codes: Sequence[int]) -> None:
         if self.active and chance and self.random.random() < chance:
-            number = self.random.choice(numbers)
+            number = self.random.choice(codes)
             raise OSError(number, os.strerror(number))
 
     def fail_file(self) -> None:
         limit = self.faults.reload_failures if self.active else self.faults.file_failures
-        failed = self.failed_files[self.active]
+        failed = self.failed_reads[self.active]
         if failed < limit:
-            self.failed_files[self.active] += 1
+            self.failed_reads[self.active] += 1
             number = FILE_ERRORS[failed % len(FILE_ERRORS)]
             raise OSError(number, os.strerror(number))
 
@@ -87,7 +87,7 @@
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls fail as `injector` draws."""
+    """A socket whose calls fail when `injector` draws a fault."""
 
     injector: Injector
 
@@ -126,12 +126,12 @@
         if self.family != socket.AF_UNIX:
             self.injector.maybe_raise(self.injector.faults.send, SEND_ERRORS)
         size = self.injector.shortened(len(data))
-        # A view held here would bar asyncio from clearing its buffer while it handles an error of this call.
+        # A memoryview kept alive here would stop asyncio from clearing its buffer while it handles this call's error.
         return super().send(data if size == len(data) else bytes(data[:size]), flags)
 
 
 def step_wall_clock(steps: list[tuple[float, float]]) -> None:
-    """Replaces `time.time`; the monotonic clock goes on evenly, as on a real machine."""
+    """Replaces `time.time` by a clock that jumps; the monotonic clock stays steady, as on a real machine."""
     began, real = time.monotonic(), time.time
 
     def stepped() -> float:
--- a/pearstall/lab/ledger.py
+++ b/pearstall/lab/ledger.py
@@ -13,7 +13,7 @@
 
 from pearstall.edge.client import DeviceAsk
 from pearstall.edge.records import Kind
-from pearstall.lab.servers import Books, Execution
+from pearstall.lab.servers import Execution, ExecutionLog
 
 MAX_EXECUTIONS = 3
 PARTIAL = (Kind.CUT, Kind.CANCELLED)  # final records that may follow a partial answer
@@ -43,7 +43,9 @@
     """`clock`: the clock of `books`. `flight`: longest transit of an answer in seconds; an answer completed less than
     that before the edge's final record may not have reached the edge."""
 
-    def __init__(self, books: Books, clock: Callable[[], float] = lambda: math.inf, flight: float = 0.0) -> None:
+    def __init__(
+        self, books: ExecutionLog, clock: Callable[[], float] = lambda: math.inf, flight: float = 0.0
+    ) -> None:
         self.books, self.clock, self.flight = books, clock, flight
         self.entries: dict[tuple[str, str], Entry] = {}
         self.events: Counter[str] = Counter()
@@ -65,7 +67,7 @@
         for (device, id), entry in self.entries.items():
             entry.executions = self.books.by_txn.get(f"{device}.{id}", [])
             breaches += [Breach(device, id, rule, what) for rule, what in _breaches(entry)]
-        for txn in self.books.doubles:
+        for txn in self.books.overlapping:
             device, _, id = txn.partition(".")
             breaches.append(Breach(device, id, "two out", "an execution began while another was running"))
         return breaches
--- a/pearstall/lab/plots.py
+++ b/pearstall/lab/plots.py
@@ -25,43 +25,43 @@
     return plt.subplots(1, columns, figsize=(width, height), layout="constrained")
 
 
-def save(drawn: Any, file: Path) -> Path:
+def save(drawing: Any, file: Path) -> Path:
     import matplotlib.pyplot as plt
 
     file.parent.mkdir(parents=True, exist_ok=True)
-    drawn.savefig(file, metadata={"Date": None})
-    plt.close(drawn)
+    drawing.savefig(file, metadata={"Date": None})
+    plt.close(drawing)
     return file
 
 
-def shares(axes: Any, values: list[float], what: str) -> None:
-    """The share of values up to each."""
+def shares(axes: Any, values: list[float], label: str) -> None:
+    """Draws the cumulative distribution of `values`; `label` names the x axis."""
     ordered = sorted(values)
     axes.step(ordered, [(n + 1) / len(ordered) for n in range(len(ordered))], where="post")
-    axes.set_xlabel(what)
+    axes.set_xlabel(label)
     axes.set_ylabel("share")
     axes.set_ylim(0, 1.02)
 
 
 def poor_links_plots(report: Report, ledger: Ledger, folder: Path) -> list[Path]:
-    """How long answers took, how often links failed, and what was executed."""
-    drawn, (left, right) = figure(columns=2)
-    shares(left, report.waits, "seconds from asking to holding the final record")
+    """Plots the time to an answer, executions per ask, how connections ended, and attempts by wire."""
+    drawing, (left, right) = figure(columns=2)
+    shares(left, report.waits, "seconds from the ask to its final record")
     left.set_xscale("log")
     counts = [len(entry.executions) for entry in ledger.entries.values()]
     bins = range(max(counts, default=0) + 2)
     right.hist(counts, bins=bins, align="left", rwidth=0.8)
     right.set_xticks(list(bins)[:-1])
-    right.set_xlabel("executions of an ask")
+    right.set_xlabel("executions per ask")
     right.set_ylabel("asks")
-    out = [save(drawn, folder / "poor-links-answers.svg")]
-    drawn, (left, right) = figure(columns=2)
+    out = [save(drawing, folder / "poor-links-answers.svg")]
+    drawing, (left, right) = figure(columns=2)
     ends = report.link_ends
     left.bar(list(ends), list(ends.values()))
     left.set_ylabel("connections")
-    left.set_title("how links ended")
+    left.set_title("how connections ended")
     right.bar(list(report.by_wire), list(report.by_wire.values()))
     right.set_ylabel("attempts")
     right.set_title("attempts by wire")
-    out.append(save(drawn, folder / "poor-links-links.svg"))
+    out.append(save(drawing, folder / "poor-links-links.svg"))
     return out
--- a/pearstall/lab/poor_links.py
+++ b/pearstall/lab/poor_links.py
@@ -1,8 +1,9 @@
-"""The operators' convincing run: devices on shaped links that reconnect and change wire at random.
+"""The operators' acceptance run: devices on poor connections that reconnect and change wire at random.
 
-Each device asks through a shaper of its own class of link, abandons connections as a phone between towers does
-(the edge is not told: the relay keeps its side open), comes back on a wire drawn anew, cancels now and then, and now
-and then sends an ask again as if it had never been taken. A ledger then holds everyone to account.
+Each device connects through the shaper of its network profile. It abandons connections as a phone that changes cells
+does (the edge isn't notified: the relay keeps its side open), reconnects on a randomly drawn wire, sometimes cancels,
+and sometimes sends an ask again as if it had never been accepted. Afterwards a ledger checks the results of devices,
+edge and servers against each other.
 """
 
 from __future__ import annotations
@@ -44,12 +45,12 @@
     link_ends: dict[str, int] = field(default_factory=dict)
     executions: int = 0
     events: int = 0
-    waits: list[float] = field(default_factory=list)  # seconds from asking to holding the final record
-    repeated: int = 0  # final records that came again
+    waits: list[float] = field(default_factory=list)  # seconds from sending an ask to receiving its final record
+    repeated: int = 0  # final records that were received again
     seconds: float = 0.0
     exceptions: int = 0
     overdue: int = 0
-    left: dict[str, int] = field(default_factory=dict)  # what the edge still holds, once all is acknowledged
+    left: dict[str, int] = field(default_factory=dict)  # what the edge still holds after everything was acknowledged
 
     def as_dict(self) -> dict[str, Any]:
         out = {name: getattr(self, name) for name in self.__dataclass_fields__ if name != "waits"}
@@ -63,38 +64,38 @@
 
 
 class _Phone(Phone):
-    """One device's run, held to account by the ledger."""
+    """One device of the run, whose asks are recorded in the ledger."""
 
     def __init__(self, name: str, client: DeviceClient, random: Random, ledger: Ledger, report: Report) -> None:
         super().__init__(client, random, PhoneBehaviour(), report)
         self.name, self.ledger, self.report = name, ledger, report
 
-    async def ask(self, id: str, patience: float) -> None:
+    async def ask(self, id: str, timeout: float) -> None:
         random = self.random
         content = f"{self.name} {id} " + "x" * random.randint(0, 200)
         body = {"model": "toy", "messages": [{"role": "user", "content": content}]}
-        held = DeviceAsk(id, body, random.choice(("", "", "agent")), 5.0)
-        self.ledger.asked(self.name, held)
+        ask = DeviceAsk(id, body, random.choice(("", "", "agent")), 5.0)
+        self.ledger.asked(self.name, ask)
         began = time.monotonic()
-        async with asyncio.timeout(patience):
-            told = await self.fetch(held)
-        if told is not None:
-            held.breaches.append(f"told {told.code}: {told.detail}")
+        async with asyncio.timeout(timeout):
+            error = await self.fetch(ask)
+        if error is not None:
+            ask.breaches.append(f"failed with {error.code}: {error.detail}")
         self.report.waits.append(time.monotonic() - began)
 
 
 async def run(
     devices: int = 60, asks: int = 1000, seed: int = 1, at_once: int = 2, linger: float = 20.0,
-    progress: Callable[[int], object] = lambda done: None, patience: float = 120.0,
+    progress: Callable[[int], object] = lambda done: None, timeout: float = 120.0,
 ) -> tuple[Report, Ledger]:  # fmt: skip
     report = Report(seed=seed, devices=devices, asks=asks)
     began = time.monotonic()
     async with AsyncExitStack() as stack:
-        behaviours = [Behaviour(ways=FAULTS, stall=5.0) for _ in range(4)]
+        behaviours = [Behaviour(outcome_weights=FAULTS, stall=5.0) for _ in range(4)]
         rig: Rig = await stack.enter_async_context(
             installation(behaviours, seed, EDGE.replace("{linger}", f"{linger:g}"))
         )
-        ledger = Ledger(rig.books)
+        ledger = Ledger(rig.execution_log)
         rig.edge.note = rig.edge.sessions.note = ledger.note
         shapers = {}
         for name, profile in PROFILES.items():
@@ -107,18 +108,18 @@
             random = Random(f"{seed}/device/{number}")
             name = f"d{number}"
             port = random.choices(list(shapers.values()), (1, 3, 1))[0].port
-            phone = _Phone(name, rig.device(name, port, patience=2.0), random, ledger, report)
-            room = asyncio.Semaphore(at_once)
+            phone = _Phone(name, rig.device(name, port, timeout=2.0), random, ledger, report)
+            slots = asyncio.Semaphore(at_once)
 
-            async def one(id: str) -> None:
+            async def ask(id: str) -> None:
                 nonlocal done
-                async with room:
-                    await phone.ask(id, patience)
+                async with slots:
+                    await phone.ask(id, timeout)
                 done += 1
                 progress(done)
 
-            mine = [f"a{ask}" for ask in range(number, asks, devices)]
-            for result in await asyncio.gather(*map(one, mine), return_exceptions=True):
+            ids = [f"a{index}" for index in range(number, asks, devices)]
+            for result in await asyncio.gather(*map(ask, ids), return_exceptions=True):
                 if isinstance(result, BaseException):
                     report.breaches.append(Breach(name, "?", "run", f"{type(result).__name__}: {result}"))
 
@@ -135,10 +136,10 @@
         counters = rig.program.counters
         report.exceptions, report.overdue = counters.exceptions, counters.overdue
         await asyncio.sleep(0.1)
-        held = rig.edge.sessions.usage
+        usage = rig.edge.sessions.usage
         report.left = {
-            "running": rig.edge.sessions.running, "bytes": held.bytes, "queries": len(rig.program.core.queries),
-            "running_away": held.running_away,
+            "running": rig.edge.sessions.running, "bytes": usage.bytes, "queries": len(rig.program.core.queries),
+            "running_away": usage.running_away,
         }  # fmt: skip
     report.seconds = round(time.monotonic() - began, 2)
     return report, ledger
--- a/pearstall/lab/processes.py
+++ b/pearstall/lab/processes.py
@@ -1,4 +1,4 @@
-"""A real router process on loopback, for tests and soaks that send it signals, kill it and start it again."""
+"""A real router process on loopback, for tests and soaks that signal, kill and restart it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RouterProcess:
-    """One router. `launcher`: arguments of the interpreter, another program for one that injects faults."""
+    """One router. `launcher`: arguments of the interpreter; `fault_shim` in place of the router injects faults."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.config_path = folder / "config.json"
 
     def write_config(self, **changes: Any) -> None:
-        """In one step, as an operator's tool replaces a file."""
+        """Replaces the file atomically, as an operator's tool does."""
         self.config.update(changes)
         draft = self.config_path.with_suffix(".new")
         draft.write_text(json.dumps({"listen": f"{LOCAL}:{self.port}", "seed": "7", **self.config}))
@@ -62,7 +62,7 @@
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """SIGKILL; nothing is left of the process when this returns."""
+        """Sends SIGKILL and waits until the process has ended."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait(EXIT_SECONDS)
@@ -75,7 +75,7 @@
         return self.log_path.read_text(errors="replace") if self.log_path.exists() else ""
 
     async def health(self) -> int:
-        """The status that its health check answers; 0: nobody answers."""
+        """The status of its health check; 0: no answer."""
         try:
             reader, writer = await asyncio.open_connection(LOCAL, self.port)
         except OSError:
--- a/pearstall/lab/rig.py
+++ b/pearstall/lab/rig.py
@@ -1,4 +1,4 @@
-"""A whole installation on loopback, in one process: stand-in servers, the program with its fronts, keys, devices."""
+"""A complete installation on loopback, in one process: stand-in servers, the router and its fronts, keys, devices."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from pearstall.edge.client import DeviceClient
 from pearstall.edge.service import Edge
 from pearstall.edge.tokens import Key, encode_secret, mint, new_secret
-from pearstall.lab.servers import LOCAL, Behaviour, Books, StandIn
+from pearstall.lab.servers import LOCAL, Behaviour, ExecutionLog, StandIn
 from pearstall.net.config import read_config
 from pearstall.net.serve import Program
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody uses just now, all different."""
+    """Distinct ports that no process is using at the moment."""
     probes = [socket.socket() for _ in range(count)]
     try:
         for probe in probes:
@@ -33,7 +33,7 @@
 
 
 def platform_settings(**changes: Any) -> dict[str, Any]:
-    """Two classes, one tenant, three attempts: in the form of the platform's settings."""
+    """Settings in the platform's form: two classes, one tenant and three attempts. `changes` replace whole keys."""
     lane = {"aim": 1_000_000, "hardLimit": 6_000_000, "lateShare": 0.5, "value": 3.0}
     limits = {"maxAttempts": 3, "mayCancel": True, "retryAfter": True, "maxRetryAfter": 2_000_000,
               "connIdle": 30_000_000, "connectTimeout": 250_000}  # fmt: skip
@@ -68,7 +68,7 @@
 @dataclass(slots=True)
 class Rig:
     program: Program
-    books: Books
+    execution_log: ExecutionLog
     ports: dict[str, int]
     folder: Path
     servers: list[StandIn]
@@ -86,9 +86,9 @@
     def token(self, device: str, epoch: int = 0, lifetime: float = 3600.0, key: int = 0) -> str:
         return mint(self.keys[key], device, int(time.time() + lifetime), epoch)
 
-    def device(self, name: str, port: int = 0, patience: float = 10.0) -> DeviceClient:
+    def device(self, name: str, port: int = 0, timeout: float = 10.0) -> DeviceClient:
         url = f"http://{LOCAL}:{port}" if port else self.url
-        return DeviceClient(url, self.token(name), timeout=patience)
+        return DeviceClient(url, self.token(name), timeout=timeout)
 
 
 @asynccontextmanager
@@ -97,13 +97,14 @@
     note: Callable[..., None] | None = None, folder: Path | None = None, ports: dict[str, int] | None = None,
     **settings: Any,
 ) -> AsyncIterator[Rig]:  # fmt: skip
-    """`more`: further nodes of the edge. `note`: takes the edge's log in place of standard error."""
+    """`more`, `openai_more`: further nodes of the operators' `edge` and `openai` sections. `note`: receives the
+    edge's log, which goes to standard error otherwise."""
     async with AsyncExitStack() as stack:
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="pearstall-")))
-        books = Books()
+        execution_log = ExecutionLog()
         servers = [
-            await stack.enter_async_context(StandIn(number, books, behaviour, seed).listening())
+            await stack.enter_async_context(StandIn(number, execution_log, behaviour, seed).listening())
             for number, behaviour in enumerate(behaviours)
         ]
         if ports is None:
@@ -118,7 +119,7 @@
         (folder / "pearstall.kdl").write_text(EDGE.format(**ports, more=more, openai_more=openai_more))
         files = [str(folder / name) for name in ("pearstall.kdl", "hosts.csv", "config.json")]
         program = Program(read_config({}, *files))
-        rig = Rig(program, books, ports, folder, servers, keys)
+        rig = Rig(program, execution_log, ports, folder, servers, keys)
         if note is not None:
             rig.edge.note = rig.edge.sessions.note = note
         await program.start()
--- a/pearstall/lab/shaper.py
+++ b/pearstall/lab/shaper.py
@@ -1,7 +1,7 @@
-"""A poor link on loopback, between a device and the edge: a relay that delays, holds up, cuts and goes silent.
+"""A relay on loopback that simulates a poor network between a device and the edge: delay, loss, cuts and silence.
 
-Loss shows as TCP shows it: not as missing bytes but as a stall of a retransmission time-out, which doubles while
-losses repeat (RFC 6298). Every draw comes from the seed and the connection's number.
+A loss appears as TCP shows it: no bytes are missing, but the data stalls for a retransmission timeout, which doubles
+while losses repeat (RFC 6298). All random draws come from the seed and the connection's number.
 """
 
 from __future__ import annotations
@@ -18,29 +18,30 @@
 from pearstall.net.pending import end_sending
 
 LOCAL = "127.0.0.1"
-HELD = 64 * 1024  # bytes under way in one direction, before nothing more is read
-SEGMENT = 1400  # bytes; each may be lost
-MOST_TIMEOUT = 2.0
+MAX_BUFFERED = 64 * 1024  # bytes buffered in one direction, above which reading pauses
+SEGMENT = 1400  # bytes; the unit in which data is lost
+MOST_TIMEOUT = 2.0  # seconds, to which the retransmission timeout doubles at most
 
 
 @dataclass(slots=True, frozen=True)
 class Profile:
-    """A class of link. Times are seconds, `bandwidth` is bytes a second; 0: without end.
+    """The properties of a class of connections. Times are seconds; `bandwidth` is bytes per second, 0: unlimited.
 
-    A connection meets one end at most: `cut` (a reset) and `close` (an orderly end) after so many bytes, `silent`
-    (nothing passes any more, and nobody is told) for `silence` seconds before it is reset."""
+    A connection ends in at most one of three ways, once `after` bytes have passed: `cut` (a reset), `close`
+    (an orderly close), or `silent` (nothing passes, neither side is notified, and a reset follows after `silence`
+    seconds)."""
 
     delay: tuple[float, float] = (0.0, 0.0)
     jitter: float = 0.0
     bandwidth: float = 0.0
     loss: float = 0.0
-    timeout: float = 0.2  # the first retransmission's
-    cut: float = 0.0  # chance of each end
+    timeout: float = 0.2  # of the first retransmission
+    cut: float = 0.0  # probability of each kind of end
     close: float = 0.0
     silent: float = 0.0
     silence: float = 3.0
-    vanish: float = 0.0  # chance that a device's own end of a connection is never told, as between two towers
-    after: tuple[int, int] = (0, 6000)  # bytes, both directions counted, until that end
+    vanish: float = 0.0  # probability that the edge isn't notified of a device's close, as when a phone changes cells
+    after: tuple[int, int] = (0, 6000)  # bytes until that end, summed over both directions
 
 
 GOOD = Profile()
@@ -62,7 +63,7 @@
 
 
 class Shaper:
-    """Relays to `target` over links of this profile."""
+    """Relays connections to the port `target`, each shaped by this profile."""
 
     def __init__(self, target: int, profile: Profile, seed: int) -> None:
         self.target, self.profile, self.seed = target, profile, seed
@@ -87,29 +88,29 @@
         return _Link(self, Random(f"{self.seed}/{self.count}")).near
 
     def cut_all(self) -> None:
-        """A cell outage: every link is reset at once."""
+        """Simulates a cell outage: resets every connection at once."""
         for link in list(self.links):
             link.end("cut")
 
 
 class _Link:
-    """Both directions of one connection."""
+    """One relayed connection, in both directions."""
 
     def __init__(self, owner: Shaper, random: Random) -> None:
         profile = owner.profile
         self.owner, self.random, self.profile = owner, random, profile
         self.delay = random.uniform(*profile.delay)
-        self.fate = random.choices(
+        self.planned_end = random.choices(
             ["", "cut", "close", "silent"],
             [max(0.0, 1 - profile.cut - profile.close - profile.silent), profile.cut, profile.close, profile.silent],
         )[0]
-        self.left = random.randint(*profile.after)
+        self.bytes_left = random.randint(*profile.after)
         self.dead = False
-        self.up = _Way(self)
-        self.down = _Way(self)
-        self.near = _End(self, self.up)
-        self.far = _End(self, self.down)
-        self.up.to, self.down.to = self.far, self.near
+        self.up = _Direction(self)
+        self.down = _Direction(self)
+        self.near = _Endpoint(self, self.up)
+        self.far = _Endpoint(self, self.down)
+        self.up.receiver, self.down.receiver = self.far, self.near
         owner.links.add(self)
 
     async def connect(self) -> None:
@@ -118,15 +119,15 @@
         except OSError:
             self.reset()
 
-    def passes(self, count: int) -> int:
-        """How many of these bytes get through before the link's end."""
-        if self.dead or not self.fate:
+    def deliverable(self, count: int) -> int:
+        """How many of these `count` bytes still pass before the connection ends."""
+        if self.dead or not self.planned_end:
             return 0 if self.dead else count
-        if count < self.left:
-            self.left -= count
+        if count < self.bytes_left:
+            self.bytes_left -= count
             return count
-        passed, self.left = self.left, 0
-        asyncio.get_running_loop().call_soon(self.end, self.fate)
+        passed, self.bytes_left = self.bytes_left, 0
+        asyncio.get_running_loop().call_soon(self.end, self.planned_end)
         return passed
 
     def end(self, how: str) -> None:
@@ -153,81 +154,82 @@
 
 
 def _reset(transport: asyncio.Transport) -> None:
-    """Without this option the kernel would end the connection in order."""
+    """Resets a connection. Without SO_LINGER the kernel would close it in an orderly way."""
     end = transport.get_extra_info("socket")
     if end is not None and end.fileno() >= 0:
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
 
 
-class _Way:
-    """One direction: chunks with the moments at which they are due, in order."""
+class _Direction:
+    """One direction of a connection: a queue of segments with their delivery times."""
 
     def __init__(self, link: _Link) -> None:
         self.link = link
-        self.to: _End
+        self.receiver: _Endpoint
         self.queue: deque[tuple[float, bytes]] = deque()
-        self.held = 0
-        self.free = 0.0  # when the link has sent all that is on it
-        self.latest = 0.0
+        self.buffered = 0
+        self.free_at = 0.0  # when the bandwidth is free again for the next segment
+        self.last_delivery_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.timeout = link.profile.timeout
-        self.ended = False  # its sender has half closed
-        self.closed = False  # its sender has gone
+        self.ended = False  # the sender has half-closed the connection
+        self.closed = False  # the sender has closed the connection
 
     def put(self, data: bytes) -> None:
         link, profile, random = self.link, self.link.profile, self.link.random
-        data = data[: link.passes(len(data))]
+        data = data[: link.deliverable(len(data))]
         now = asyncio.get_running_loop().time()
         for at in range(0, len(data), SEGMENT):
             part = data[at : at + SEGMENT]
             if profile.bandwidth:
-                self.free = max(self.free, now) + len(part) / profile.bandwidth
-            due = max(now, self.free) + link.delay + random.uniform(0, profile.jitter)
+                self.free_at = max(self.free_at, now) + len(part) / profile.bandwidth
+            delivery_at = max(now, self.free_at) + link.delay + random.uniform(0, profile.jitter)
             if profile.loss and random.random() < profile.loss:
-                due += self.timeout
+                delivery_at += self.timeout
                 self.timeout = min(MOST_TIMEOUT, self.timeout * 2)
             else:
                 self.timeout = profile.timeout
-            self.latest = max(self.latest, due)  # what comes behind a lost segment waits for it
-            self.queue.append((self.latest, part))
-            self.held += len(part)
-        self._arm()
+            # Data behind a lost segment waits for its retransmission.
+            self.last_delivery_at = max(self.last_delivery_at, delivery_at)
+            self.queue.append((self.last_delivery_at, part))
+            self.buffered += len(part)
+        self._schedule()
 
     def end(self, closed: bool = False) -> None:
         self.ended, self.closed = True, self.closed or closed
-        self._arm()
+        self._schedule()
 
-    def _arm(self) -> None:
+    def _schedule(self) -> None:
         if self.timer is not None or self.link.dead:
             return
         if self.queue:
-            self.timer = asyncio.get_running_loop().call_at(self.queue[0][0], self._due)
-        elif self.ended and self.to.transport is not None and not self.to.transport.is_closing():
+            self.timer = asyncio.get_running_loop().call_at(self.queue[0][0], self._deliver)
+        elif self.ended and self.receiver.transport is not None and not self.receiver.transport.is_closing():
             if self.closed:
-                self.to.transport.close()
+                self.receiver.transport.close()
             else:
-                end_sending(self.to.transport)
+                end_sending(self.receiver.transport)
 
-    def _due(self) -> None:
+    def _deliver(self) -> None:
         self.timer = None
         now = asyncio.get_running_loop().time()
-        while self.queue and self.queue[0][0] <= now and not self.link.dead and self.to.transport is not None:
+        while self.queue and self.queue[0][0] <= now and not self.link.dead and self.receiver.transport is not None:
             _, part = self.queue.popleft()
-            self.held -= len(part)
-            self.to.transport.write(part)
-        self._arm()
+            self.buffered -= len(part)
+            self.receiver.transport.write(part)
+        self._schedule()
 
     @property
     def full(self) -> bool:
-        return self.held > HELD
+        return self.buffered > MAX_BUFFERED
 
 
-class _End(asyncio.Protocol):
-    """One socket of the relay. What it reads goes `way`."""
+class _Endpoint(asyncio.Protocol):
+    """One of the relay's two sockets. What it reads is sent on in the direction `outgoing`."""
 
-    def __init__(self, link: _Link, way: _Way) -> None:
-        self.link, self.way = link, way
+    def __init__(self, link: _Link, outgoing: _Direction) -> None:
+        self.link, self.outgoing = link, outgoing
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[None] | None = None
 
@@ -237,30 +239,30 @@
         if self is self.link.near:
             self.connecting = asyncio.get_running_loop().create_task(self.link.connect())
         else:
-            self.link.up._arm()
+            self.link.up._schedule()
 
     def data_received(self, data: bytes) -> None:
         if self.link.dead:
             return
-        self.way.put(data)
-        if self.way.full and self.transport is not None:
+        self.outgoing.put(data)
+        if self.outgoing.full and self.transport is not None:
             self.transport.pause_reading()
-            asyncio.get_running_loop().call_later(0.02, self._go_on)
+            asyncio.get_running_loop().call_later(0.02, self._resume_reading)
 
-    def _go_on(self) -> None:
+    def _resume_reading(self) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if self.way.full and not self.link.dead:
-            asyncio.get_running_loop().call_later(0.02, self._go_on)
+        if self.outgoing.full and not self.link.dead:
+            asyncio.get_running_loop().call_later(0.02, self._resume_reading)
         else:
             self.transport.resume_reading()
 
     def eof_received(self) -> bool:
-        if not self.link.dead and not self._vanished():
-            self.way.end()
+        if not self.link.dead and not self._lost_silently():
+            self.outgoing.end()
         return True
 
-    def _vanished(self) -> bool:
+    def _lost_silently(self) -> bool:
         link = self.link
         if self is link.near and link.random.random() < link.profile.vanish:
             link.end("silent")
@@ -271,8 +273,8 @@
         if not self.link.dead:
             if error is not None:
                 self.link.reset()
-            elif not self._vanished():
-                self.way.end(closed=True)
+            elif not self._lost_silently():
+                self.outgoing.end(closed=True)
         other = self.link.far if self is self.link.near else self.link.near
         if other.transport is None:
             self.link.owner.links.discard(self.link)
--- a/pearstall/lab/soak.py
+++ b/pearstall/lab/soak.py
@@ -1,10 +1,10 @@
-"""One seeded soak of a real router process on loopback: faults, signals and kills, and a check of the rules.
+"""Seeded soaks of a real router process on loopback: faults, signals and kills, and a check of its guarantees.
 
     python -m pearstall.lab.soak --seeds 1-50 --seconds 12
 
-A run starts a router under `fault_shim`, with stand-in model servers and discovery. Clients ask on connections that
-they keep and, after SIGTERM, on every one that stays open until SIGKILL. Drawn from the seed are the kind of run,
-the servers' behaviour, changes of the list, outages of discovery and the series of signals.
+A run starts a router under `fault_shim`, with stand-in model servers and discovery. Clients send requests on
+connections that they keep open, also after SIGTERM, on each that the router leaves open until SIGKILL. The seed sets
+the kind of run, the servers' behaviour, changes of the server list, outages of discovery and the series of signals.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 from pearstall.lab.fault_shim import Faults
 from pearstall.lab.processes import RouterProcess
 from pearstall.lab.rig import free_ports, platform_settings
-from pearstall.lab.servers import LOCAL, Behaviour, Books, StandIn
+from pearstall.lab.servers import LOCAL, Behaviour, ExecutionLog, StandIn
 from pearstall.lab.stations import Discovery
 from pearstall.net.buffer import Buffer
 from pearstall.net.http1 import Head, Malformed, body_of, read_head
 
 SERVERS = 5
-LEAVING = 2  # it drains or goes once, and does not come back; the ones before it stay
-FIRST_OF_CHANGING = 3
+LEAVING_SERVER = 2  # drains or disappears once and doesn't come back; the servers before it stay
+FIRST_CHANGING_SERVER = 3
 CLIENTS = 12
-CROWD = 150  # idle clients, against 64 descriptors for all
+IDLE_CONNECTIONS = 150  # connections held open at once, against 64 descriptors for all
 MOST_ATTEMPTS = 3
-LATE_SECONDS = 0.5  # past its deadline an answer only earns nothing; later it is lost
-DRAIN_SECONDS = 0.55  # after a change was told
-TOLD_SECONDS = 6.0  # after it was made, heard of or not
+LATE_SECONDS = 0.5  # past its deadline an answer is merely worthless; later than this it counts as missing
+DRAIN_SECONDS = 0.55  # from the news of a change until no more attempts are sent there
+NOTIFICATION_SECONDS = 6.0  # from a change until the router must know of it, whether or not a watch reported it
 LONGEST_DEADLINE = 3.0
 KILL_SECONDS = LONGEST_DEADLINE + 0.7  # after SIGTERM
-OWED_SECONDS = 0.7  # after SIGTERM: what came by then is answered before the kill
+MUST_ANSWER_SECONDS = 0.7  # after SIGTERM: a request sent by then is answered before the kill
 READY_SECONDS = 10.0
 LONGEST_OUTAGE = 4.0
 KINDS = ("plain", "syscalls", "sockets", "clock", "log", "crowd")
@@ -58,14 +58,14 @@
 
 
 @dataclass(slots=True)
-class Try:
-    """One request on one connection. Times are the loop's seconds."""
+class SentRequest:
+    """One request sent on one connection. Times are seconds of the event loop's clock."""
 
     txn: str
     sent: float
     deadline: float
     ended: float = 0.0
-    kind: str = "none"  # served, refused, failed, cut, reset: no answer and no connection any more
+    kind: str = "none"  # served, refused, failed, malformed, cut, reset: connection lost, none: no answer in time
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
 
 
 class SoakClient:
-    """Asks one request after another on a connection that it keeps for as long as the router does."""
+    """Sends one request after another on a connection that stays open until the router closes it."""
 
     def __init__(self, soak: Soak, number: int) -> None:
         self.soak, self.number, self.count = soak, number, 0
@@ -104,7 +104,7 @@
     async def _connected(self) -> bool:
         if self.writer is not None:
             return True
-        if self.soak.closed_to_new:
+        if self.soak.no_new_connections:
             return False
         try:
             self.reader, self.writer = await asyncio.open_connection(LOCAL, self.soak.router.port)
@@ -119,19 +119,19 @@
         txn = f"{self.soak.seed:x}-{self.number}-{self.count}"
         wait = self.random.choice((0.3, 1.0, 2.0, LONGEST_DEADLINE))
         now = asyncio.get_running_loop().time()
-        made = Try(txn, now, now + wait)
-        self.soak.tries.append(made)
+        record = SentRequest(txn, now, now + wait)
+        self.soak.requests.append(record)
         self.writer.write(request(txn, wait, self.number))
         try:
             async with asyncio.timeout(wait + 4.0):
-                made.kind = await self._answer()
+                record.kind = await self._answer()
         except (OSError, TimeoutError) as error:
-            made.kind = "none" if isinstance(error, TimeoutError) else "reset"
-        made.ended = asyncio.get_running_loop().time()
-        if made.kind in ("none", "reset", "cut"):
+            record.kind = "none" if isinstance(error, TimeoutError) else "reset"
+        record.ended = asyncio.get_running_loop().time()
+        if record.kind in ("none", "reset", "cut"):
             self.close()
 
-    async def _more(self) -> bool:
+    async def _read_more(self) -> bool:
         assert self.reader is not None
         data = await self.reader.read(65536)
         self.buffer.add(data)
@@ -139,7 +139,7 @@
 
     async def _answer(self) -> str:
         while (head := read_head(self.buffer, response=True)) is None:
-            if not await self._more():
+            if not await self._read_more():
                 return "reset"
         body = body_of(head) if isinstance(head, Head) else head
         if isinstance(body, Malformed) or not isinstance(head, Head):
@@ -147,7 +147,7 @@
         while not body.done:
             if isinstance(body.feed(self.buffer), Malformed):
                 return "malformed"
-            if not body.done and not await self._more():
+            if not body.done and not await self._read_more():
                 return "cut"
         if not head.keep_alive:
             self.close()
@@ -175,22 +175,22 @@
         self.random = Random(seed)
         self.kind = KINDS[seed % len(KINDS)]
         self.report = Report(seed, self.kind)
-        self.books = Books()
+        self.execution_log = ExecutionLog()
         self.servers: list[StandIn] = []
         self.discovery = Discovery((LOCAL, free_ports(1)[0]))
         self.router: RouterProcess
-        self.tries: list[Try] = []
+        self.requests: list[SentRequest] = []
         self.running = True
-        self.closed_to_new = False
-        self.left: dict[int, list[tuple[float, float]]] = {}  # by server: when it was told to drain, and when back
-        self.back_at: list[float] = []  # when discovery could be reached again
-        self.stops: list[tuple[float, float]] = []  # of a router: asked to end (or killed), and dead
+        self.no_new_connections = False
+        self.absences: dict[int, list[tuple[float, float]]] = {}  # by server: when it drained or left, and returned
+        self.discovery_restored_at: list[float] = []  # when discovery was reachable again after an outage
+        self.stops: list[tuple[float, float]] = []  # of each router process: when it was asked to end, and dead
 
     async def play(self) -> Report:
         async with AsyncExitStack() as stack:
             for number in range(SERVERS):
-                behaviour = Behaviour(ways=self._ways(number), first=(0.005, 0.06), stall=6.0)
-                server = StandIn(number, self.books, behaviour, self.seed, "platform")
+                behaviour = Behaviour(outcome_weights=self._outcome_weights(number), first=(0.005, 0.06), stall=6.0)
+                server = StandIn(number, self.execution_log, behaviour, self.seed, "platform")
                 self.servers.append(await stack.enter_async_context(server.listening()))
                 self.discovery.put(self._row(number, "ready"))
             await self.discovery.start()
@@ -201,8 +201,8 @@
                 return self.report
             clients = [asyncio.create_task(SoakClient(self, number).run()) for number in range(CLIENTS)]
             if self.kind == "crowd":
-                stack.callback(asyncio.create_task(self._crowd()).cancel)
-            changes = asyncio.create_task(self._change_lists())
+                stack.callback(asyncio.create_task(self._open_idle_connections()).cancel)
+            changes = asyncio.create_task(self._change_server_list())
             await self._signals()
             self.running = False
             changes.cancel()
@@ -210,9 +210,9 @@
             self._check()
         return self.report
 
-    def _ways(self, number: int) -> dict[str, float]:
+    def _outcome_weights(self, number: int) -> dict[str, float]:
         bad = self.random.choice(("error", "reset", "silent", "break", "away"))
-        return {"serve": 1.0} if number < LEAVING else {"serve": 0.8, bad: 0.2}
+        return {"serve": 1.0} if number < LEAVING_SERVER else {"serve": 0.8, bad: 0.2}
 
     def _row(self, number: int, status: str) -> dict[str, Any]:
         address = f"{LOCAL}:{self.servers[number].port}"
@@ -243,56 +243,56 @@
     def _breach(self, what: str) -> None:
         self.report.breaches.append(what)
 
-    async def _crowd(self) -> None:
-        """Idle clients take every descriptor that the router grants."""
-        held: list[asyncio.StreamWriter] = []
+    async def _open_idle_connections(self) -> None:
+        """Opens idle connections until the router has no descriptor left for more."""
+        idle: list[asyncio.StreamWriter] = []
         try:
             while True:
                 try:
-                    held.append((await asyncio.open_connection(LOCAL, self.router.port))[1])
+                    idle.append((await asyncio.open_connection(LOCAL, self.router.port))[1])
                 except OSError:
                     await asyncio.sleep(0.1)
-                if len(held) > CROWD:
-                    held.pop(0).close()
+                if len(idle) > IDLE_CONNECTIONS:
+                    idle.pop(0).close()
                 await asyncio.sleep(0.005)
         finally:
-            for writer in held:
+            for writer in idle:
                 writer.close()
 
-    async def _change_lists(self) -> None:
+    async def _change_server_list(self) -> None:
         loop = asyncio.get_running_loop()
         leaves_at = loop.time() + self.random.uniform(0.5, 4.0)
         while True:
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
-            number = self.random.randrange(FIRST_OF_CHANGING, SERVERS)
-            if LEAVING not in self.left and loop.time() > leaves_at:
-                number = LEAVING
+            number = self.random.randrange(FIRST_CHANGING_SERVER, SERVERS)
+            if LEAVING_SERVER not in self.absences and loop.time() > leaves_at:
+                number = LEAVING_SERVER
             state = self.discovery.rows.get(f"s{number}", {"status": "gone"})["status"]
             status = self.random.choice(("draining", "gone")) if state == "ready" else "ready"
             self.discovery.put(self._row(number, status))
             self.report.lists += 1
-            spans = self.left.setdefault(number, [])
+            periods = self.absences.setdefault(number, [])
             if status == "ready":
-                spans[-1] = (spans[-1][0], loop.time())
+                periods[-1] = (periods[-1][0], loop.time())
             elif state == "ready":
-                spans.append((loop.time(), float("inf")))
-            await self._trouble_discovery()
-
-    async def _trouble_discovery(self) -> None:
-        trouble = self.random.random()
-        if trouble < 0.15:
-            self.discovery.restart()  # every watch is reset
-        elif trouble < 0.3:
+                periods.append((loop.time(), float("inf")))
+            await self._disturb_discovery()
+
+    async def _disturb_discovery(self) -> None:
+        draw = self.random.random()
+        if draw < 0.15:
+            self.discovery.restart()  # resets every watch
+        elif draw < 0.3:
             self.discovery.mute()
-        elif trouble < 0.4:
+        elif draw < 0.4:
             self.discovery.up = False
             self.discovery.restart()
             await asyncio.sleep(self.random.uniform(0.5, LONGEST_OUTAGE))
             self.discovery.up = True
-            self.back_at.append(asyncio.get_running_loop().time())
+            self.discovery_restored_at.append(asyncio.get_running_loop().time())
 
     async def _signals(self) -> None:
-        """Reloads in a row; SIGTERM, sometimes twice or with a reload, and SIGKILL as early as it may come."""
+        """Sends series of reloads; SIGTERM, sometimes twice or with a reload, and SIGKILL as early as is allowed."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.seconds
         while loop.time() < end:
@@ -302,79 +302,82 @@
                 self.router.send_signal(self.random.choice((signal.SIGHUP, signal.SIGUSR1)))
                 await asyncio.sleep(self.random.uniform(0.0, 0.05))
             if self.random.random() < 0.6:
-                await self._restart(gently=self.random.random() < 0.7)
+                await self._restart(graceful=self.random.random() < 0.7)
 
-    async def _restart(self, gently: bool) -> None:
+    async def _restart(self, graceful: bool) -> None:
         loop = asyncio.get_running_loop()
         if self.router.exit_code is not None:
             return
         asked = loop.time()
-        if gently:
+        if graceful:
             self.router.send_signal(signal.SIGTERM)
             if self.random.random() < 0.3:
                 self.router.send_signal(self.random.choice((signal.SIGTERM, signal.SIGHUP)))
             await asyncio.sleep(0.4)
-            self.closed_to_new = True
+            self.no_new_connections = True
             while self.router.exit_code is None and loop.time() < asked + KILL_SECONDS:
                 await asyncio.sleep(0.02)
             if self.router.exit_code not in (None, 0):
                 self._breach(f"exit code {self.router.exit_code} after SIGTERM")
         killed = loop.time()
         self.router.kill()
-        self.stops.append((asked if gently else killed - OWED_SECONDS - 60.0, killed))
+        self.stops.append((asked if graceful else killed - MUST_ANSWER_SECONDS - 60.0, killed))
         await asyncio.sleep(self.random.uniform(0.0, 1.0))
-        self.closed_to_new = False
+        self.no_new_connections = False
         self.router.config["known"] = {
             "index": self.discovery.index, "snapshot": True, "endpoints": list(self.discovery.rows.values())
         }  # fmt: skip
-        await asyncio.sleep(self.random.choice((0.2, 1.0, 4.0)))  # the list changes while the router is down
+        await asyncio.sleep(self.random.choice((0.2, 1.0, 4.0)))  # meanwhile the list changes without the router
         self.router.start()
         self.report.restarts += 1
         await self._ready()
 
     def _check(self) -> None:
         if self.router.exit_code is not None:
-            self._breach(f"the router ended by itself with {self.router.exit_code}: {self.router.log()[-300:]}")
-        for made in self.tries:
-            self.report.ends[made.kind] += 1
-            self._check_try(made)
-        asked = {made.txn for made in self.tries}
-        for txn, executions in self.books.by_txn.items():
+            self._breach(f"the router exited by itself with code {self.router.exit_code}: {self.router.log()[-300:]}")
+        for record in self.requests:
+            self.report.ends[record.kind] += 1
+            self._check_request(record)
+        asked = {record.txn for record in self.requests}
+        for txn, executions in self.execution_log.by_txn.items():
             if txn not in asked:
-                self._breach(f"{txn!r} was sent on, and no client sent it")
+                self._breach(f"{txn!r} was sent to a server, but no client sent it")
             if len(executions) > MOST_ATTEMPTS:
-                self._breach(f"{txn} was sent on {len(executions)} times")
+                self._breach(f"{txn} was sent to servers {len(executions)} times")
             for execution in executions:
-                self._check_drain(execution.txn, execution.server, execution.began)
-        self.report.breaches += [f"{txn} was out twice at once" for txn in self.books.doubles]
+                self._check_absence(execution.txn, execution.server, execution.began)
+        self.report.breaches += [f"{txn} had two attempts running at once" for txn in self.execution_log.overlapping]
         for line in self.router.log().splitlines():
             if '"event":"exception"' in line or line.startswith("Traceback"):
                 self._breach(line[:300])
 
-    def _check_try(self, made: Try) -> None:
-        if made.kind == "malformed":
-            self._breach(f"{made.txn} got what is no answer")
-        if made.kind not in ("none", "reset"):
-            if made.kind in ("refused", "failed") and made.ended > made.deadline + LATE_SECONDS:
-                self._breach(f"{made.txn} was answered {made.ended - made.deadline:.2f} s past its deadline")
+    def _check_request(self, record: SentRequest) -> None:
+        if record.kind == "malformed":
+            self._breach(f"{record.txn} got a malformed answer")
+        if record.kind not in ("none", "reset"):
+            if record.kind in ("refused", "failed") and record.ended > record.deadline + LATE_SECONDS:
+                self._breach(f"{record.txn} was answered {record.ended - record.deadline:.2f} s past its deadline")
             return
         if self.kind == "sockets":
-            return  # its connection was lost by a fault of the router's own socket
+            return  # the connection was lost to an injected fault of the router's socket
         for asked, dead in self.stops:
-            if made.sent <= dead <= made.ended + 0.1:  # it met a kill
-                if made.sent <= asked + OWED_SECONDS and asked > dead - KILL_SECONDS - 1.0:
-                    self._breach(f"{made.txn}, sent {made.sent - asked:+.2f} s after SIGTERM, has no answer")
+            if record.sent <= dead <= record.ended + 0.1:  # the router was killed during this request
+                if record.sent <= asked + MUST_ANSWER_SECONDS and asked > dead - KILL_SECONDS - 1.0:
+                    self._breach(f"{record.txn}, sent {record.sent - asked:+.2f} s after SIGTERM, got no answer")
                 return
-        if made.txn in self.books.by_txn:
-            self._breach(f"{made.txn} was read and sent on, and its connection ended without an answer")
-        elif made.kind == "none":
-            self._breach(f"{made.txn} got no answer in {made.ended - made.sent:.2f} s")
+        if record.txn in self.execution_log.by_txn:
+            self._breach(f"{record.txn} was sent to a server, but its connection ended without an answer")
+        elif record.kind == "none":
+            self._breach(f"{record.txn} got no answer in {record.ended - record.sent:.2f} s")
 
-    def _check_drain(self, txn: str, server: int, began: float) -> None:
-        for made, back in self.left.get(server, []):
-            told = max([made] + [at for at in self.back_at if at < made + TOLD_SECONDS + LONGEST_OUTAGE])
-            if told + TOLD_SECONDS + DRAIN_SECONDS < began < back:
-                self._breach(f"{txn} went to s{server} {began - told:.2f} s after its drain was made known")
+    def _check_absence(self, txn: str, server: int, began: float) -> None:
+        for left, back in self.absences.get(server, []):
+            announced = max(
+                [left]
+                + [at for at in self.discovery_restored_at if at < left + NOTIFICATION_SECONDS + LONGEST_OUTAGE]
+            )
+            if announced + NOTIFICATION_SECONDS + DRAIN_SECONDS < began < back:
+                self._breach(f"{txn} was sent to s{server} {began - announced:.2f} s after its drain was announced")
 
 
 def seeds(text: str) -> list[int]:
@@ -387,7 +390,7 @@
         return await Soak(seed, seconds, Path(folder)).play()
 
 
-async def play_all(wanted: list[int], seconds: float, at_once: int) -> list[Report]:
+async def play_all(chosen: list[int], seconds: float, at_once: int) -> list[Report]:
     slots = asyncio.Semaphore(at_once)
 
     async def one(seed: int) -> Report:
@@ -396,16 +399,16 @@
             print(report.line(), flush=True)
             return report
 
-    return list(await asyncio.gather(*(one(seed) for seed in wanted)))
+    return list(await asyncio.gather(*(one(seed) for seed in chosen)))
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m pearstall.lab.soak", description=__doc__.splitlines()[0])
-    parser.add_argument("--seeds", default="1-6", help="one seed, or the first and the last")
-    parser.add_argument("--seconds", type=float, default=12.0, help="of each run")
-    parser.add_argument("--at-once", type=int, default=1, help="runs beside each other")
-    given = parser.parse_args()
-    reports = asyncio.run(play_all(seeds(given.seeds), given.seconds, given.at_once))
+    parser.add_argument("--seeds", default="1-6", help="one seed, or a range FIRST-LAST")
+    parser.add_argument("--seconds", type=float, default=12.0, help="length of each run")
+    parser.add_argument("--at-once", type=int, default=1, help="runs in parallel")
+    arguments = parser.parse_args()
+    reports = asyncio.run(play_all(seeds(arguments.seeds), arguments.seconds, arguments.at_once))
     broken = [report for report in reports if report.breaches]
     print(f"{len(reports)} runs, {len(broken)} with breaches, {sum(map(len, (r.breaches for r in reports)))} in all")
     return 1 if broken else 0
--- a/pearstall/lab/stations.py
+++ b/pearstall/lab/stations.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from pearstall.lab.engine import Engine, EngineSettings, Sequence_, Verdict
-from pearstall.lab.servers import Books, Execution
+from pearstall.lab.servers import Execution, ExecutionLog
 from pearstall.net.buffer import Buffer
 from pearstall.net.http1 import Body, Head, Malformed, body_of, read_head
 
@@ -216,7 +216,7 @@
         self.requests = 0
         self.listener: asyncio.AbstractServer | None = None
         self.seen: Callable[[str, ModelServer], None] = lambda txn, server: None
-        self.books: Books | None = None
+        self.books: ExecutionLog | None = None
         self.recorded_prefix = ""
 
     def register_request(self, txn: str, link: ServerLink) -> None:
--- a/tests/test_edge_wires.py
+++ b/tests/test_edge_wires.py
@@ -60,14 +60,14 @@
 def test_an_answer_begun_on_one_wire_is_finished_on_another(first: WireName, second: WireName) -> None:
     async def scene() -> None:
         async with installation([STEADY], more=UNLIMITED) as rig:
-            ledger, ask = Ledger(rig.books), InterruptedAsk("a", BODY)
+            ledger, ask = Ledger(rig.execution_log), InterruptedAsk("a", BODY)
             ledger.asked("d", ask)
             rig.edge.sessions.note = ledger.note
             device = rig.device("d")
             failure = await device.attempt(first, ask)
             assert isinstance(failure, AttemptFailure) and failure.code == "dropped" and ask.final is None
             assert await device.attempt(second, ask) is None
-            assert not ledger.check() and len(rig.books.by_txn["d.a"]) == 1
+            assert not ledger.check() and len(rig.execution_log.by_txn["d.a"]) == 1
             assert ask.final == Final(15, Kind.SERVED) and ask.finals == 1
             await until(lambda: not rig.edge.sessions.unfinished())
             # Much later, from a device that has lost its records.
@@ -388,7 +388,7 @@
 
 def test_an_unstreamed_answer_by_key_is_retried_after_its_stream_broke() -> None:
     async def scene() -> None:
-        breaks = Behaviour(ways={"break": 1.0}, events=(6, 6))
+        breaks = Behaviour(outcome_weights={"break": 1.0}, events=(6, 6))
         async with installation([breaks, STEADY, STEADY], seed=3, more=UNLIMITED) as rig:
             async with httpx.AsyncClient(timeout=30) as http:
                 url = f"http://{LOCAL}:{rig.ports['openai']}/v1/chat/completions"
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,4 +1,4 @@
-"""The example folder, run as its README says, on ports of the test's own."""
+"""Runs the example folder as its README describes, on free ports."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_example_answers_whole_and_streamed(tmp_path: Path) -> None:
+def test_the_example_answers_in_one_body_and_streamed(tmp_path: Path) -> None:
     ports = {old: str(free_port()) for old in ("7070", "7101", "7102", "8081", "8090")}
     write_keys(tmp_path / "keys.kdl", [Key("k1", new_secret(), "shop")])
     for name in ("config.json", "hosts.yaml", "pearstall.kdl"):
@@ -24,12 +24,12 @@
         for old, new in ports.items():
             text = text.replace(old, new)
         (tmp_path / name).write_text(text)
-    toys = [[str(ROOT / "examples" / "toy_server.py"), ports[old]] for old in ("7101", "7102")]
+    toy_servers = [[str(ROOT / "examples" / "toy_server.py"), ports[old]] for old in ("7101", "7102")]
     files = [str(tmp_path / name) for name in ("config.json", "hosts.yaml", "pearstall.kdl")]
     router = ["-m", "pearstall", "--config", files[0], "--inventory", files[1], "--operators", files[2]]
-    started = [
-        subprocess.Popen([sys.executable, *words], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
-        for words in [*toys, router]
+    processes = [
+        subprocess.Popen([sys.executable, *arguments], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+        for arguments in [*toy_servers, router]
     ]
 
     async def scene() -> None:
@@ -51,11 +51,11 @@
 
     try:
         asyncio.run(scene())
-        started[2].send_signal(signal.SIGTERM)
-        _, errors = started[2].communicate(timeout=60)
-        (counted,) = [line for line in errors.decode().splitlines() if line.startswith("counters ")]
-        assert json.loads(counted.removeprefix("counters "))["served"] == 3
+        processes[2].send_signal(signal.SIGTERM)
+        _, errors = processes[2].communicate(timeout=60)
+        (counters,) = [line for line in errors.decode().splitlines() if line.startswith("counters ")]
+        assert json.loads(counters.removeprefix("counters "))["served"] == 3
     finally:
-        for process in started:
+        for process in processes:
             process.kill()
             process.communicate()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -415,7 +415,7 @@
     ]  # fmt: skip
     classes = Classes(*phases(rows))
     for row in rows:
-        classes.tell(*row)
+        classes.record(*row)
     before, during, after = classes.table()
     assert (before["phase"], before["class"], before["first"], before["share"]) == ("before", "agent", 1, 1.0)
     assert (during["class"], during["asked"], during["refused"], during["never sent"]) == ("chat", 2, 2, 1)
@@ -555,19 +555,19 @@
 
 def test_acceptance_criteria_are_computed_from_traces() -> None:
     terms, send, refuse = Terms(), "Send", "Refuse"
-    terms.tell(0, 0, ["start", 0, "n0", 0.1, ["chat"]])
+    terms.record(0, 0, ["start", 0, "n0", 0.1, ["chat"]])
     for id in range(20):  # the longer half of the prompts is refused; one session gets nothing
         action = send if id < 10 else refuse
-        terms.tell(0, 0, request_row(id, 1 + id // 10, 100.0 * id, (action, {"request": id, "replica": 1})))
+        terms.record(0, 0, request_row(id, 1 + id // 10, 100.0 * id, (action, {"request": id, "replica": 1})))
         if id < 10:
-            terms.tell(1, 0, ["FirstToken", 1, {"request": id, "attempt": 0}, []])
-    terms.tell(0, 0, request_row(20, 3, 100.0))
-    terms.tell(10, 0, ["ClientGone", 10, {"request": 20}, []])
-    terms.tell(400_000, 0, ["Timer", 400_000, {"tag": 20}, [[send, {"request": 20, "replica": 1}]]])
+            terms.record(1, 0, ["FirstToken", 1, {"request": id, "attempt": 0}, []])
+    terms.record(0, 0, request_row(20, 3, 100.0))
+    terms.record(10, 0, ["ClientGone", 10, {"request": 20}, []])
+    terms.record(400_000, 0, ["Timer", 400_000, {"tag": 20}, [[send, {"request": 20, "replica": 1}]]])
     for id in range(30, 46):
-        terms.tell(id * 300_000, 1, request_row(id, 0, 1.0, (refuse, {"request": id})))
-    terms.tell(0, 1, ["cpu", 0, 1.0, 0.25])
-    report = terms.found()
+        terms.record(id * 300_000, 1, request_row(id, 0, 1.0, (refuse, {"request": id})))
+    terms.record(0, 1, ["cpu", 0, 1.0, 0.25])
+    report = terms.results()
     assert report["clients that left"] == {"before an attempt": 0, "sent on all the same": 1}
     assert report["turning all away"] == "1 of 2" and report["loop held up, ms"] == 250.0
     assert report["sessions refused throughout"]["chat"] == {"sessions": 3, "share": 0.333, "by chance": 0.159}
--- a/tests/test_restart_membership.py
+++ b/tests/test_restart_membership.py
@@ -13,7 +13,7 @@
 from pearstall.interface import ListKind, Replica, ReplicaList, Request, Send, SetTimer, State, Subscribe, Timer
 from pearstall.lab.processes import RouterProcess
 from pearstall.lab.rig import free_ports
-from pearstall.lab.servers import LOCAL, Behaviour, Books, StandIn
+from pearstall.lab.servers import LOCAL, Behaviour, ExecutionLog, StandIn
 from pearstall.lab.stations import Discovery
 from tests.net_support import Client, setup
 from tests.support import MS, S, settings
@@ -44,7 +44,7 @@
 def test_a_restarted_router_sends_nothing_to_servers_that_left_while_it_was_down(status: str, tmp_path: Path) -> None:
     async def scene() -> None:
         async with AsyncExitStack() as stack:
-            books = Books()
+            books = ExecutionLog()
             fast = Behaviour(first=(0.0, 0.005), events=(2, 3))
             servers = [
                 await stack.enter_async_context(StandIn(number, books, fast, 1, "platform").listening())
--- a/tests/test_site_variants.py
+++ b/tests/test_site_variants.py
@@ -1,4 +1,4 @@
-"""The script that writes variants of a site: what they differ in, and a kit that is missing."""
+"""The script that writes variants of a site: how the variants differ, and the message for a missing kit."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import tomli_w
 
 from benchmarks import site_variants
-from benchmarks.site_variants import BESIDE, write_variants
+from benchmarks.site_variants import COMPANION_FILES, write_variants
 
 PROMPTS = {"turns": [4.0, 6.0], "token_ms": 90, "prefixes": [2, 5]}
 SITE: dict[str, Any] = {
@@ -28,18 +28,18 @@
 }
 
 
-def written(folder: Path) -> list[dict[str, Any]]:
+def variants(folder: Path) -> list[dict[str, Any]]:
     (folder / "site.toml").write_text(tomli_w.dumps(SITE))
-    for name in BESIDE:
+    for name in COMPANION_FILES:
         (folder / name).write_text(name)
     paths = write_variants(folder / "site.toml", folder / "out")
-    assert all((folder / "out" / name).read_text() == name for name in BESIDE)
+    assert all((folder / "out" / name).read_text() == name for name in COMPANION_FILES)
     return [tomllib.loads(path.read_text()) for path in paths]
 
 
 def test_the_variants_differ_from_the_site_and_from_each_other(tmp_path: Path) -> None:
-    sites = [SITE, *written(tmp_path)]
-    for what in (
+    sites = [SITE, *variants(tmp_path)]
+    for property_of in (
         lambda site: {row["name"] for row in site["class"]},
         lambda site: len(site["class"]),
         lambda site: sorted(row["effect"] for row in site["class"]),
@@ -48,15 +48,15 @@
         lambda site: site["rules"]["drain_grace_ms"],
         lambda site: site["prices"]["waste"],
     ):
-        found = [what(site) for site in sites]
-        assert all(found.count(one) == 1 for one in found)
+        values = [property_of(site) for site in sites]
+        assert all(values.count(value) == 1 for value in values)
     for site in sites[1:]:
         assert len(site["fam"]["class"]) == len(site["class"])
     windows = [row["window_ms"] for site in sites[1:] for row in site["class"] if "window_ms" in row]
     assert len(set(windows)) == len(windows) == 4
 
 
-def test_a_missing_kit_is_one_line(
+def test_a_missing_kit_is_reported_in_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("sys.argv", ["site_variants.py", str(tmp_path / "none.toml"), "--output", str(tmp_path)])
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks of the real program under faults of the system, signals in series and kills."""
+"""Short soaks of a real router process under injected system faults, series of signals and kills."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 RUNS_OF_A_KIND = 2
 AT_ONCE = 4
 CONNECTIONS = 40
-LONGEST_ACCEPT_SECONDS = 0.3
+MAX_ACCEPT_SECONDS = 0.3
 
 
 @pytest.fixture(scope="module")
@@ -27,14 +27,14 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_router_keeps_the_rules_under_seeded_faults_and_signals(kind: str, reports: list[Report]) -> None:
-    played = [report for report in reports if report.kind == kind]
-    assert len(played) == RUNS_OF_A_KIND and all(report.ends["served"] for report in played)
-    assert [(report.seed, report.breaches) for report in played] == [(report.seed, []) for report in played]
+def test_a_router_keeps_its_guarantees_under_seeded_faults_and_signals(kind: str, reports: list[Report]) -> None:
+    runs = [report for report in reports if report.kind == kind]
+    assert len(runs) == RUNS_OF_A_KIND and all(report.ends["served"] for report in runs)
+    assert [(report.seed, report.breaches) for report in runs] == [(report.seed, []) for report in runs]
 
 
 @pytest.mark.parametrize("number", ACCEPT_ERRORS, ids=os.strerror)
-def test_an_accept_that_fails_holds_up_no_other_connection(number: int, tmp_path: Path) -> None:
+def test_a_failed_accept_does_not_delay_other_connections(number: int, tmp_path: Path) -> None:
     async def scene() -> None:
         (tmp_path / "hosts.csv").write_text(f"name,address\ns0,{LOCAL}:1\n")
         faults = f'{{"accept": 0.3, "accept_errors": [{number}], "seed": 3}}'
@@ -43,12 +43,12 @@
         try:
             router.start()
             await router.until_health(200, 20)
-            waited = []
+            waits = []
             for _ in range(CONNECTIONS):
                 began = asyncio.get_running_loop().time()
                 assert await router.health() == 200
-                waited.append(asyncio.get_running_loop().time() - began)
-            assert max(waited) < LONGEST_ACCEPT_SECONDS
+                waits.append(asyncio.get_running_loop().time() - began)
+            assert max(waits) < MAX_ACCEPT_SECONDS
             assert '"event":"exception"' not in router.log()
         finally:
             router.kill()
