--- a/pearstall/cli/model.py
+++ b/pearstall/cli/model.py
@@ -172,13 +172,13 @@
 def replay(file: Path, as_json: bool) -> None:
     """Replay a stored sequence step by step. Exits with 1 if it still breaks a property."""
     from pearstall.models import catalogue
-    from pearstall.models.explore import breaks
+    from pearstall.models.explore import first_breach
 
     try:
         stored = catalogue.read_kept(file)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
-    breach = breaks(catalogue.machine(stored), stored.sequence)
+    breach = first_breach(catalogue.machine(stored), stored.sequence)
     rows = catalogue.steps(stored)
     if as_json:
         click.echo(json.dumps({"breaks": breach, "steps": rows}))
--- a/pearstall/lab/world.py
+++ b/pearstall/lab/world.py
@@ -1,8 +1,8 @@
-"""A world in virtual time: real routers, engines, discovery, clients, faults; every rule checked as it goes.
+"""Simulates a fleet in virtual time: real routers, engines, discovery, clients and faults, with invariants checked.
 
 `play` runs one scenario from one seed. The routers are the product's `Program`, unmodified, each on a host of its
-own. All draws come from named streams of the seed, so that a change of one thing (a variant's setting) leaves the
-load, the faults and the links what they were, and runs can be compared seed by seed.
+own. All random numbers come from named streams of the seed, so that changing one thing (such as a variant's
+setting) leaves the load, the faults and the connections as they were, and runs can be compared seed by seed.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 from pearstall.settings import settings_from_wire
 
 PORT, DISCOVERY = 7070, ("discovery", 8500)
-DRAIN_LIMIT = 0.5  # seconds from the news to the last send
-LATE = 0.05
-MOST_EXECUTIONS = 3
-BIN = 1.0  # seconds of the series
+DRAIN_LIMIT = 0.5  # seconds after the announcement of a drain in which requests may still be sent
+DEADLINE_TOLERANCE = 0.05  # seconds
+MAX_EXECUTIONS = 3
+BIN = 1.0  # seconds per point of the time series
 
 
 class Klass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of requests. Seconds; tokens. `share` of the load."""
+    """A request class. Times are in seconds, lengths in tokens; `share` is its part of the load."""
 
     name: str
     aim: float = 1.0
@@ -49,18 +49,21 @@
     late_share: float = 0.5
     value: float = 1.0
     share: float = 1.0
-    prompt: int = 400  # of a turn's own text, on average
-    shared: int = 600  # of the beginning that sessions share
+    prompt: int = 400  # mean length of a turn's own text
+    shared: int = 600  # length of the prefix that sessions share
     wanted: int = 100
-    turns: float = 3.0  # of a session, on average
+    turns: float = 3.0  # mean number per session
     think: float = 4.0
-    token_aim: float = 0.0  # an answer is worth all up to this gap between tokens, late up to twice that; 0: any
-    aim_per_k: float = 0.0  # added to the aim for every 1,000 prompt tokens
+    token_aim: float = 0.0  # inter-token latency for full value; late up to twice that; 0: no limit
+    aim_per_k: float = 0.0  # added to the aim per 1,000 prompt tokens
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`kind` at `at`, for `lasts` seconds, on `share` of its kind of thing (or `count` of them). `every`: from
-    then on again and again, after so many seconds on average (a Poisson process; its hazard rate is 1 / every)."""
+    """A fault `kind`, injected at `at` for `lasts` seconds into `share` of its targets (or `count` of them).
+
+    With `every`, it repeats from then on as a Poisson process with a mean interval of `every` seconds (its hazard
+    rate is 1 / every).
+    """
 
     kind: str
     at: float
@@ -74,23 +77,23 @@
 
 FAULTS = {
     "errors": "servers answer 500 at once",
-    "silent": "servers take requests and answer nothing",
-    "gray": "servers are well by their health, and leave every second request unanswered",
-    "stalls": "servers stop in mid-stream",
-    "garbles": "servers break their streams with noise",
+    "silent": "servers accept requests and never answer",
+    "gray": "servers pass health checks, but leave every second request unanswered",
+    "stalls": "servers stop sending in the middle of a stream",
+    "garbles": "servers corrupt their streams with random bytes",
     "slow": "servers take `factor` times as long",
     "heavy-tail": "one step in twenty takes a Pareto-distributed time, `factor` times as long on average",
-    "hang": "engines stop stepping, then go on",
-    "lost": "machines vanish: nothing reaches them, and nobody is told",
-    "replace": "servers drain, go, and come back cold, one after the other over `lasts`",
-    "partition": "zones don't reach each other",
-    "kill-router": "routers are killed and start anew after `lasts`",
-    "term-router": "routers get SIGTERM, are killed 3.7 s later and start anew",
-    "list-silent": "discovery's watch says nothing",
-    "list-down": "discovery drops watches and takes none",
-    "skew": "routers' calendars are off by `factor` seconds, one way or the other",
+    "hang": "engines stop processing, then resume",
+    "lost": "machines become unreachable without any notification",
+    "replace": "servers drain, leave and come back cold, one after the other over `lasts`",
+    "partition": "zones cannot reach each other",
+    "kill-router": "routers are killed and restart after `lasts`",
+    "term-router": "routers get SIGTERM, are killed 3.7 s later and restart",
+    "list-silent": "discovery's watch sends nothing",
+    "list-down": "discovery drops its watches and accepts no new ones",
+    "skew": "routers' wall clocks are off by `factor` seconds, ahead or behind",
     "reconnect-storm": "every connection of devices and clients is reset at once",
-    "list-lag": "changes of the list are told `factor` seconds late",
+    "list-lag": "discovery announces changes `factor` seconds late",
 }
 
 ONLY_VIRTUAL = {"lost", "partition", "kill-router", "term-router", "replace", "reconnect-storm"}
@@ -98,7 +101,7 @@
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True):
-    """Everything about a run but its seed. `rate(t)`: asks a second, for the whole world."""
+    """Everything that defines a run except its seed. `rate(t)` is the number of requests per second for the fleet."""
 
     name: str = "scenario"
     seconds: float = 40.0
@@ -110,38 +113,38 @@
     classes: list[Klass] = msgspec.field(default_factory=lambda: [Klass("chat")])
     tenants: int = 1
     engine: EngineSettings = EngineSettings()
-    speeds: tuple[float, float] = (0.9, 1.1)  # of servers, drawn from
+    speeds: tuple[float, float] = (0.9, 1.1)  # range of the servers' relative speeds
     faults: list[Fault] = []
     latency: float = 0.0005
     jitter: float = 0.0002
     cross_latency: float = 0.002
     list_lag: float = 0.05
-    retries: int = 2  # of a client
-    honours_advice: float = 1.0  # the share of clients that wait as they are told
-    notices_after: float = 1.0  # a front takes a dead router out after so long
-    settings: dict[str, Any] = {}  # over the platform's
-    constants: dict[str, float] = {}  # of choice.py, for the length of a run
+    retries: int = 2  # per client request
+    honours_advice: float = 1.0  # share of clients that wait for Retry-After
+    notices_after: float = 1.0  # seconds until the load balancer stops using a dead router
+    settings: dict[str, Any] = {}  # override the platform's settings
+    constants: dict[str, float] = {}  # constants of choice.py, overridden during a run
     sockets: int = 1024
-    subset: int = 0  # servers that each router uses; 0: all
-    devices: list[Devices] = []  # at the routers' edges
+    subset: int = 0  # servers that each router uses; 0: all of them
+    devices: list[Devices] = []  # connected to the routers' edges
     edge: EdgeSettings = EdgeSettings()
 
 
 @dataclass(slots=True)
 class Result:
-    """What a run came to."""
+    """The measurements of a run."""
 
     scenario: str
     seed: int
     digest: str = ""
-    worth: float = 0.0  # served, of the worth asked for
+    worth: float = 0.0  # share of the requested value that was earned
     asked: int = 0
     kinds: dict[str, int] = field(default_factory=dict)
     breaches: list[str] = field(default_factory=list)
     by_class: dict[str, float] = field(default_factory=dict)
     by_tenant: dict[str, float] = field(default_factory=dict)
-    first: dict[str, list[float]] = field(default_factory=dict)  # class -> waits for the first token
-    series: dict[str, list[float]] = field(default_factory=dict)  # a value a BIN
+    first: dict[str, list[float]] = field(default_factory=dict)  # class -> times to first token
+    series: dict[str, list[float]] = field(default_factory=dict)  # one value per BIN
     executions: int = 0
     tries: int = 0
     made: int = 0
@@ -149,19 +152,19 @@
     prompt_read: int = 0
     prompt_reused: int = 0
     turned_away: int = 0
-    ejections: list[tuple[float, int, str]] = field(default_factory=list)  # when, by which router, which server
-    sick: list[tuple[float, float, str]] = field(default_factory=list)  # from, to, which server
-    loads: list[float] = field(default_factory=list)  # busy share of each server
-    events: int = 0  # callbacks of the loop
+    ejections: list[tuple[float, int, str]] = field(default_factory=list)  # time, router, server
+    sick: list[tuple[float, float, str]] = field(default_factory=list)  # start, end, server
+    loads: list[float] = field(default_factory=list)  # busy fraction of each server
+    events: int = 0  # callbacks run by the event loop
     steps: int = 0
     real_seconds: float = 0.0
     seconds: float = 0.0
     counters: dict[str, int] = field(default_factory=dict)
-    devices: dict[str, float] = field(default_factory=dict)  # what came of the devices' asks
-    device_waits: list[float] = field(default_factory=list)  # until the final record is held
+    devices: dict[str, float] = field(default_factory=dict)  # outcomes of the devices' asks
+    device_waits: list[float] = field(default_factory=list)  # seconds until the device has the final record
 
 
-class _Around(System):
+class _VirtualSystem(System):
     def __init__(self, loop: VirtualLoop | LoopbackLoop, random: Random) -> None:
         self.loop, self.random = loop, random
         self.skew = 0.0
@@ -193,25 +196,25 @@
         self.discovery = Discovery(DISCOVERY, scenario.list_lag)
         self.zone_names = [f"z{n}" for n in range(scenario.zones)]
         self.servers: dict[str, ModelServer] = {}
-        self.names: dict[int, str] = {}  # the routers' number of a server -> its name
+        self.names: dict[int, str] = {}  # the routers' numeric id of a server -> its name
         self.routers: list[Router] = []
-        self.asks = 0
+        self.request_count = 0
         self.open = 0
         self.in_flight: dict[str, tuple[ModelServer, Any]] = {}
         self.executions: dict[str, int] = {}
-        self.drained: dict[str, float] = {}  # server -> when the news of its drain was out
+        self.drained: dict[str, float] = {}  # server -> when routers could know of its drain
         self.bins = math.ceil(scenario.seconds / BIN) + 1
         self.sums = {key: [0.0] * self.bins for key in ("asked", "worth", "tries", "refused", "executions")}
         self.prefixes = 24
-        self.device_links: dict[str, Path] = {}  # a device's cell -> its link
+        self.device_links: dict[str, Path] = {}  # a device's cell -> its network path
         self.devices: DeviceLoad | None = None
         if scenario.devices:
             self.devices = DeviceLoad(self)
-        self.worths = _Lists()  # class -> the part of its worth that each ask earned
-        self.tenants = _Lists()
+        self.worths = _ListsByName()  # class -> fraction of its value that each request earned
+        self.tenants = _ListsByName()
 
     def stream(self, name: str) -> Random:
-        """Random numbers of their own for each thing."""
+        """Returns an independent random generator for `name`."""
         return Random(f"{self.seed}/{name}")
 
     def _zone_of(self, host: str) -> str:
@@ -226,7 +229,7 @@
         return Path(scenario.cross_latency if cross else scenario.latency, scenario.jitter)
 
     def note(self, *what: Any) -> None:
-        """One line of the run, in its digest."""
+        """Adds a line to the run's digest and its trace."""
         self.hash.update(repr((round(self.loop.now, 9), *what)).encode())
         if self.trace is not None:
             self.trace.append(f"{self.loop.now - self.begin:10.4f}  {' '.join(map(str, what))}")
@@ -244,7 +247,7 @@
         await self.discovery.start()
         for number in range(scenario.servers):
             name = f"s{number}"
-            server = await self.place(name, self.zone_names[number % scenario.zones], cold=False)
+            server = await self.start_server(name, self.zone_names[number % scenario.zones], cold=False)
             server.engine.speed = random.uniform(*scenario.speeds)
             self.names[number_of(name)] = name
             self.discovery.rows[name] = server.row()
@@ -253,11 +256,11 @@
             self.routers.append(router)
             await router.start()
 
-    async def place(self, name: str, zone: str, cold: bool) -> ModelServer:
+    async def start_server(self, name: str, zone: str, cold: bool) -> ModelServer:
         self.network.zones[name] = zone
         since = self.loop.wall() if cold else 0.0
         server = ModelServer(name, (name, 9000), self.scenario.engine, zone, since=since)
-        server.seen = self.seen
+        server.seen = self.check_execution
         if self.devices is not None:
             server.books, server.recorded_prefix = self.devices.ledger.books, "dev"
         self.servers[name] = server
@@ -265,87 +268,96 @@
         await server.start()
         return server
 
-    # -- the rules -----------------------------------------------------------------------------------------
+    # -- invariants ----------------------------------------------------------------------------------------
 
-    def seen(self, txn: str, server: ModelServer) -> None:
-        """An execution arrived whole at a server."""
+    def check_execution(self, txn: str, server: ModelServer) -> None:
+        """Checks invariants when a server has received a whole request."""
         self.note("run", txn, server.name)
         count = self.executions[txn] = self.executions.get(txn, 0) + 1
-        self._add("executions", 1)
-        if count > MOST_EXECUTIONS:
+        self._add_to_series("executions", 1)
+        if count > MAX_EXECUTIONS:
             self.breach(f"{txn}: {count} executions")
-        before = self.in_flight.get(txn)
-        if before is not None:
-            link = before[1]
-            mine = link.transport if before[0].in_flight.get(txn) is link else None  # None: it was answered
-            if mine is not None and not self.network.peer_closed(mine):
-                self.breach(f"{txn}: at {server.name} while out at {before[0].name}")
+        previous = self.in_flight.get(txn)
+        if previous is not None:
+            link = previous[1]
+            open_transport = (
+                link.transport if previous[0].in_flight.get(txn) is link else None
+            )  # None: already answered
+            if open_transport is not None and not self.network.peer_closed(open_transport):
+                self.breach(f"{txn}: at {server.name} while out at {previous[0].name}")
         self.in_flight[txn] = (server, server.in_flight[txn])
-        told = self.drained.get(server.name)
-        if server.status == "draining" and told is not None and self.loop.now > told + DRAIN_LIMIT + LATE:
-            self.breach(f"{txn}: sent to {server.name}, {self.loop.now - told:.3f} s after its drain was told")
-
-    def _add(self, key: str, value: float, at: float | None = None) -> None:
+        drain_announced = self.drained.get(server.name)
+        if (
+            server.status == "draining"
+            and drain_announced is not None
+            and self.loop.now > drain_announced + DRAIN_LIMIT + DEADLINE_TOLERANCE
+        ):
+            self.breach(
+                f"{txn}: sent to {server.name}, {self.loop.now - drain_announced:.3f} s after its drain was announced"
+            )
+
+    def _add_to_series(self, key: str, value: float, at: float | None = None) -> None:
         bin = int(((self.loop.now if at is None else at) - self.begin) / BIN)
         if bin < self.bins:
             self.sums[key][bin] += value
 
-    # -- the load ------------------------------------------------------------------------------------------
+    # -- load ----------------------------------------------------------------------------------------------
 
     async def load(self) -> None:
-        """Arrivals by thinning (Lewis and Shedler 1979); they don't wait for answers."""
+        """Generates open-loop arrivals by thinning (Lewis and Shedler 1979)."""
         scenario, random = self.scenario, self.stream("load")
-        most = scenario.most_rate
+        max_rate = scenario.most_rate
         weights = [klass.share for klass in scenario.classes]
         end = self.begin + scenario.seconds
         turns: list[tuple[float, int, ClientRequest, int]] = []
         now = self.begin
         while True:
-            now += random.expovariate(most)
+            now += random.expovariate(max_rate)
             while turns and turns[0][0] <= min(now, end):
                 due, _, last, left = heapq.heappop(turns)
-                await self._until(due)
-                self._begin(self._next_turn(last, random), random, turns, left)
+                await self._sleep_until(due)
+                self._start_client(self._next_turn(last, random), random, turns, left)
             if now >= end:
                 return
-            if random.random() * most > scenario.rate(now - self.begin):
+            if random.random() * max_rate > scenario.rate(now - self.begin):
                 continue
-            await self._until(now)
+            await self._sleep_until(now)
             number = random.choices(range(len(weights)), weights)[0]
             klass = scenario.classes[number]
             prefix = f"p{number}.{int(random.paretovariate(1.2)) % self.prefixes}"
-            self.asks += 1
+            self.request_count += 1
             own = max(16, int(random.lognormvariate(math.log(klass.prompt), 0.6)))
             wanted = max(4, int(random.lognormvariate(math.log(klass.wanted), 0.5)))
-            ask = ClientRequest(
-                self.asks, number, random.randrange(scenario.tenants), f"e{self.asks}",
-                [(prefix, klass.shared), (f"t{self.asks}", own)], wanted,
+            request = ClientRequest(
+                self.request_count, number, random.randrange(scenario.tenants), f"e{self.request_count}",
+                [(prefix, klass.shared), (f"t{self.request_count}", own)], wanted,
                 self.loop.now, self.loop.now + klass.give_up,
             )  # fmt: skip
             left = int(random.expovariate(1 / klass.turns)) if klass.turns else 0
-            self._begin(ask, random, turns, left)
+            self._start_client(request, random, turns, left)
 
-    def _begin(
-        self, ask: ClientRequest, random: Random, turns: list[tuple[float, int, ClientRequest, int]], left: int
+    def _start_client(
+        self, request: ClientRequest, random: Random, turns: list[tuple[float, int, ClientRequest, int]], left: int
     ) -> None:
-        klass = self.scenario.classes[ask.klass]
+        klass = self.scenario.classes[request.klass]
         if left > 0:
             due = self.loop.now + klass.wanted * 0.02 + random.expovariate(1 / klass.think)
-            heapq.heappush(turns, (due, ask.number, ask, left - 1))
+            heapq.heappush(turns, (due, request.number, request, left - 1))
         self.open += 1
-        self._add("asked", klass.value)
+        self._add_to_series("asked", klass.value)
         self.result.asked += 1
-        task = self.loop.create_task(self._client(ask, random.random() < self.scenario.honours_advice))
+        task = self.loop.create_task(self._run_client(request, random.random() < self.scenario.honours_advice))
         task.add_done_callback(self._client_done)
 
     def _next_turn(self, last: ClientRequest, random: Random) -> ClientRequest:
-        """A turn's prompt begins with all of the turn before it."""
+        """Returns the next turn of a session; its prompt begins with the whole previous turn."""
         klass = self.scenario.classes[last.klass]
-        self.asks += 1
+        self.request_count += 1
         own = max(16, int(random.lognormvariate(math.log(klass.prompt), 0.6)))
         wanted = max(4, int(random.lognormvariate(math.log(klass.wanted), 0.5)))
         return ClientRequest(
-            self.asks, last.klass, last.tenant, last.session, [*last.segments, (f"t{self.asks}", own)], wanted,
+            self.request_count, last.klass, last.tenant, last.session,
+            [*last.segments, (f"t{self.request_count}", own)], wanted,
             self.loop.now, self.loop.now + klass.give_up,
         )  # fmt: skip
 
@@ -354,99 +366,102 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             self.breach(f"a client ended with {type(error).__name__}: {error}")
 
-    async def _until(self, when: float) -> None:
+    async def _sleep_until(self, when: float) -> None:
         if when > self.loop.now:
             await asyncio.sleep(when - self.loop.now)
 
-    async def _client(self, ask: ClientRequest, honours: bool) -> None:
-        """All tries of one ask: what its user gets is the best that they make of it."""
+    async def _run_client(self, request: ClientRequest, follows_advice: bool) -> None:
+        """Sends one request with its retries and scores the result that its user gets."""
         set_current_host("clients")
-        klass = self.scenario.classes[ask.klass]
+        klass = self.scenario.classes[request.klass]
         pause = 0.05
         for number in range(self.scenario.retries + 1):
-            left = ask.deadline - self.loop.now
+            left = request.deadline - self.loop.now
             if left <= 0.01:
                 break
-            router = self._front(ask, number)
+            router = self._choose_router(request, number)
             if router is None:
-                ask.tries.append(Answer("lost", 0.0, self.loop.now))
+                request.tries.append(Answer("lost", 0.0, self.loop.now))
                 await asyncio.sleep(min(0.2, left))
                 continue
-            self._add("tries", 1)
-            txn = f"{ask.number}.{number}"
-            answer = await router.ask(self._request(ask, txn, left), left)
-            ask.tries.append(answer)
+            self._add_to_series("tries", 1)
+            txn = f"{request.number}.{number}"
+            answer = await router.send_request(self._encode_request(request, txn, left), left)
+            request.tries.append(answer)
             self.note("got", txn, answer.kind, answer.tokens, round(answer.first, 9))
             self.executions.pop(txn, None)
             self.in_flight.pop(txn, None)
-            self._check(ask, txn, answer, left)
+            self._check_answer(request, txn, answer, left)
             if answer.kind == "served" or answer.first:
                 break
             if answer.kind == "refused":
-                self._add("refused", 1)
-                wait = answer.retry_after if honours and answer.retry_after else pause
+                self._add_to_series("refused", 1)
+                wait = answer.retry_after if follows_advice and answer.retry_after else pause
             else:
                 wait = pause if answer.kind == "lost" else 0.0
             pause = min(1.0, pause * 2)
-            if ask.deadline - self.loop.now <= wait:
+            if request.deadline - self.loop.now <= wait:
                 break
             await asyncio.sleep(wait)
-        self._score(ask, klass)
+        self._score(request, klass)
 
-    def _front(self, ask: ClientRequest, number: int) -> Router | None:
-        """Deals clients out among routers in service, another one for each try."""
-        there = [router for router in self.routers if router.in_service(self.loop.now)]
-        if not there:
+    def _choose_router(self, request: ClientRequest, number: int) -> Router | None:
+        """Spreads clients over the routers in service, and picks another router for each try."""
+        in_service = [router for router in self.routers if router.in_service(self.loop.now)]
+        if not in_service:
             return None
-        return there[(ask.number * 2654435761 + number * 7919) % len(there)]
+        return in_service[(request.number * 2654435761 + number * 7919) % len(in_service)]
 
-    def _request(self, ask: ClientRequest, txn: str, left: float) -> bytes:
-        klass = self.scenario.classes[ask.klass]
+    def _encode_request(self, request: ClientRequest, txn: str, left: float) -> bytes:
+        klass = self.scenario.classes[request.klass]
         body = msgspec.json.encode(
-            {"model": klass.name, "stream": True, "work": {"segments": ask.segments, "wanted": ask.wanted}}
+            {"model": klass.name, "stream": True, "work": {"segments": request.segments, "wanted": request.wanted}}
         )
-        prefix, length = ask.segments[0]
+        prefix, length = request.segments[0]
         return (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Txn: {txn}\r\nX-Lane: {klass.name}\r\n"
-            f"X-Org: t{ask.tenant}\r\nX-Entity: {ask.session}\r\nX-Remaining: {left:.6f}\r\n"
-            f"X-Labels: prefix={prefix},prefix_len={length},prompt_len={ask.prompt}\r\n"
+            f"X-Org: t{request.tenant}\r\nX-Entity: {request.session}\r\nX-Remaining: {left:.6f}\r\n"
+            f"X-Labels: prefix={prefix},prefix_len={length},prompt_len={request.prompt}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         ).encode() + body
 
-    def _check(self, ask: ClientRequest, txn: str, answer: Answer, left: float) -> None:
+    def _check_answer(self, request: ClientRequest, txn: str, answer: Answer, left: float) -> None:
         when = answer.first or answer.last
-        if answer.kind in ("refused", "failed", "served", "cut") and when > ask.deadline + LATE + 0.01:
-            self.breach(f"{txn}: {answer.kind} {when - ask.deadline:.3f} s past its deadline")
-        if answer.kind == "served" and answer.tokens != ask.wanted:
-            self.breach(f"{txn}: {answer.tokens} tokens of {ask.wanted} in an answer told whole")
-
-    def _score(self, ask: ClientRequest, klass: Klass) -> None:
+        if (
+            answer.kind in ("refused", "failed", "served", "cut")
+            and when > request.deadline + DEADLINE_TOLERANCE + 0.01
+        ):
+            self.breach(f"{txn}: {answer.kind} {when - request.deadline:.3f} s past its deadline")
+        if answer.kind == "served" and answer.tokens != request.wanted:
+            self.breach(f"{txn}: {answer.tokens} tokens of {request.wanted} in an answer reported as complete")
+
+    def _score(self, request: ClientRequest, klass: Klass) -> None:
         result = self.result
-        last = ask.tries[-1] if ask.tries else Answer("lost")
-        result.tries += len(ask.tries)
+        last = request.tries[-1] if request.tries else Answer("lost")
+        result.tries += len(request.tries)
         result.kinds[last.kind] = result.kinds.get(last.kind, 0) + 1
         part = 0.0
         if last.kind == "served":
-            wait = last.first - ask.at
+            wait = last.first - request.at
             result.first.setdefault(klass.name, []).append(wait)
-            aim = klass.aim + klass.aim_per_k * ask.prompt / 1000
-            pace = (last.last - last.first) / max(1, last.tokens - 1) / klass.token_aim if klass.token_aim else 0.0
-            late = klass.late_share if wait <= klass.give_up and pace <= 2 else 0.0
-            part = 1.0 if wait <= aim and pace <= 1 else late
-        self._add("worth", part * klass.value, ask.at)
+            aim = klass.aim + klass.aim_per_k * request.prompt / 1000
+            gap = (last.last - last.first) / max(1, last.tokens - 1) / klass.token_aim if klass.token_aim else 0.0
+            late = klass.late_share if wait <= klass.give_up and gap <= 2 else 0.0
+            part = 1.0 if wait <= aim and gap <= 1 else late
+        self._add_to_series("worth", part * klass.value, request.at)
         self.worths[klass.name].append(part)
-        self.tenants[f"t{ask.tenant}"].append(part)
+        self.tenants[f"t{request.tenant}"].append(part)
 
     # -- faults --------------------------------------------------------------------------------------------
 
     async def faults(self) -> None:
         for number, fault in enumerate(self.scenario.faults):
             random = self.stream(f"fault{number}")
-            for at in self._moments(fault, random):
-                again = msgspec.structs.replace(fault, at=at)
-                self.loop.create_task(self._fault(again, random))
+            for at in self._fault_times(fault, random):
+                occurrence = msgspec.structs.replace(fault, at=at)
+                self.loop.create_task(self._inject_fault(occurrence, random))
 
-    def _moments(self, fault: Fault, random: Random) -> list[float]:
+    def _fault_times(self, fault: Fault, random: Random) -> list[float]:
         out, at = [fault.at], fault.at
         while fault.every:
             at += random.expovariate(1 / fault.every)
@@ -455,20 +470,20 @@
             out.append(at)
         return out
 
-    def _chosen(self, fault: Fault, random: Random) -> list[str]:
+    def _choose_servers(self, fault: Fault, random: Random) -> list[str]:
         names = [name for name, one in self.servers.items() if not fault.zone or one.zone == fault.zone]
         count = fault.count or round(fault.share * len(names))
         names = [name for name in names if not self.servers[name].fault and name not in self.network.unreachable]
         return sorted(random.sample(names, min(len(names), max(1, count))))
 
-    async def _fault(self, fault: Fault, random: Random) -> None:
-        await self._until(self.begin + fault.at)
+    async def _inject_fault(self, fault: Fault, random: Random) -> None:
+        await self._sleep_until(self.begin + fault.at)
         kind = fault.kind
         self.note("fault", kind)
         if kind in SERVER_FAULTS:
-            await self._sick(fault, self._chosen(fault, random), random)
+            await self._inject_server_fault(fault, self._choose_servers(fault, random), random)
         elif kind == "replace":
-            await self._replace(fault, self._chosen(fault, random))
+            await self._replace(fault, self._choose_servers(fault, random))
         elif kind == "partition":
             pairs = {(a, b) for a in self.zone_names for b in self.zone_names if a != b}
             if fault.zone:
@@ -502,18 +517,18 @@
             await asyncio.sleep(fault.lasts)
             self.discovery.up = True
         elif kind == "list-lag":
-            before, self.discovery.lag = self.discovery.lag, fault.factor
+            previous, self.discovery.lag = self.discovery.lag, fault.factor
             await asyncio.sleep(fault.lasts)
-            self.discovery.lag = before
+            self.discovery.lag = previous
 
-    async def _sick(self, fault: Fault, names: list[str], random: Random) -> None:
+    async def _inject_server_fault(self, fault: Fault, names: list[str], random: Random) -> None:
         chosen = [self.servers[name] for name in names]
         since = self.loop.now - self.begin
         for server in chosen:
             if fault.kind == "slow":
                 server.engine.speed /= fault.factor
             elif fault.kind == "heavy-tail":
-                server.engine.tail = _tail(random, fault.factor)
+                server.engine.tail = _heavy_tail(random, fault.factor)
             elif fault.kind == "hang":
                 server.engine.hung = True
             elif fault.kind == "lost":
@@ -535,7 +550,7 @@
             self.result.sick.append((since, self.loop.now - self.begin, server.name))
 
     async def _replace(self, fault: Fault, names: list[str]) -> None:
-        """A release of the servers: each drains for 2 s, is gone for 1 s, and comes back cold."""
+        """Rolls out a release: each server drains for 2 s, is gone for 1 s, and comes back cold."""
         gap = fault.lasts / len(names)
 
         async def one(name: str) -> None:
@@ -553,16 +568,16 @@
             self.drained.pop(name, None)
             await asyncio.sleep(1.0)
             speed = server.engine.speed
-            fresh = await self.place(name, server.zone, cold=True)
+            fresh = await self.start_server(name, server.zone, cold=True)
             fresh.engine.speed = speed
-            _carry(server, fresh)
+            _carry_counters_over(server, fresh)
             self.discovery.put(fresh.row())
 
         for name in names:
             self.loop.create_task(one(name))
             await asyncio.sleep(gap)
 
-    # -- the end -------------------------------------------------------------------------------------------
+    # -- results -------------------------------------------------------------------------------------------
 
     def finish(self) -> Result:
         result = self.result
@@ -589,7 +604,7 @@
         result.counters = dict(total)
         result.executions = total["executions"]
         if total["exceptions"]:
-            self.breach(f"{total['exceptions']} exceptions stopped at a connection")
+            self.breach(f"{total['exceptions']} exceptions were caught at a connection")
         if total["overdue"]:
             self.breach(f"{total['overdue']} answers were overdue")
         if self.devices is not None:
@@ -609,25 +624,25 @@
         return result
 
 
-class _Lists(dict[str, list[float]]):
+class _ListsByName(dict[str, list[float]]):
     def __missing__(self, key: str) -> list[float]:
         made = self[key] = []
         return made
 
 
-def _tail(random: Random, factor: float) -> Callable[[], float]:
-    """One step in twenty takes so many times as long, on average; Pareto's shape 1.5 has no variance."""
+def _heavy_tail(random: Random, factor: float) -> Callable[[], float]:
+    """Slows one step in twenty, `factor` times on average; a Pareto shape of 1.5 has infinite variance."""
     return lambda: 1.0 if random.random() >= 0.05 else max(1.0, factor / 3 * random.paretovariate(1.5))
 
 
-def _carry(old: ModelServer, new: ModelServer) -> None:
-    """The books of a server go on when it is replaced."""
+def _carry_counters_over(old: ModelServer, new: ModelServer) -> None:
+    """Continues the counters of a server in its replacement."""
     new.engine.counters = old.engine.counters
     new.requests = old.requests
 
 
 class Router:
-    """One router of the world, its clients' connections, and its restarts."""
+    """One simulated router host: its program, its clients' connections and its restarts."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number = world, number
@@ -638,8 +653,8 @@
         self.dead_from = math.inf
         self.starts = 0
         self.skew = 0.0
-        self.around: _Around | None = None
-        self.past: Counter[str] = Counter()
+        self.system: _VirtualSystem | None = None
+        self.past_counters: Counter[str] = Counter()
         world.network.zones[self.host] = world.zone_names[number % len(world.zone_names)]
 
     def in_service(self, now: float) -> bool:
@@ -650,9 +665,9 @@
         set_current_host(self.host)
         seed = world.stream(f"{self.host}/{self.starts}").getrandbits(64)
         self.starts += 1
-        self.around = _Around(world.loop, Random(seed))
-        self.around.skew = self.skew
-        program = self.program = Program(config_of(world, self, seed), self.around)
+        self.system = _VirtualSystem(world.loop, Random(seed))
+        self.system.skew = self.skew
+        program = self.program = Program(config_of(world, self, seed), self.system)
         if world.devices is not None:
             world.devices.join(self)
         await program.start()
@@ -661,16 +676,16 @@
 
     def set_skew(self, seconds: float) -> None:
         self.skew = seconds
-        if self.around is not None:
-            self.around.skew = seconds
+        if self.system is not None:
+            self.system.skew = seconds
 
     def total(self) -> Counter[str]:
-        out = Counter(self.past)
+        out = Counter(self.past_counters)
         if self.program is not None:
-            out.update(_counted(self.program))
+            out.update(_counter_values(self.program))
         return out
 
-    async def ask(self, data: bytes, patience: float) -> Answer:
+    async def send_request(self, data: bytes, timeout: float) -> Answer:
         world = self.world
         while self.idle:
             end = self.idle.pop()
@@ -678,12 +693,12 @@
                 break
         else:
             try:
-                async with asyncio.timeout(patience):
+                async with asyncio.timeout(timeout):
                     _, end = await world.network.connect(ClientConnection, (self.host, PORT), "clients")
             except (OSError, TimeoutError):
                 return Answer("lost", 0.0, world.loop.now)
         waiting = end.ask(data)
-        limit = world.loop.call_later(patience + 0.2, _give_up, end)
+        limit = world.loop.call_later(timeout + 0.2, _abort_unless_begun, end)
         answer = await waiting
         limit.cancel()
         if end.begun and answer.kind == "cut" and not end.gone and end.transport is not None:
@@ -692,34 +707,34 @@
             self.idle.append(end)
         return answer
 
-    async def restart(self, politely: bool, lasts: float) -> None:
+    async def restart(self, gracefully: bool, lasts: float) -> None:
         world, program = self.world, self.program
         if program is None:
             return
         set_current_host(self.host)
         world.note("restart", self.host)
-        if politely:
+        if gracefully:
             program.leave()
             self.dead_from = world.loop.now - world.scenario.notices_after + 0.3
             await asyncio.sleep(3.7)
         else:
             self.dead_from = world.loop.now
-        self.past.update(_counted(program))
+        self.past_counters.update(_counter_values(program))
         self.program = None
         world.network.kill(self.host)
-        _silence(program)
+        _disable_timers(program)
         self.idle.clear()
         await asyncio.sleep(lasts)
         await self.start()
 
 
-def _give_up(end: ClientConnection) -> None:
-    """A client waits for its first token only so long."""
+def _abort_unless_begun(end: ClientConnection) -> None:
+    """Aborts the connection of a client that timed out waiting for its first token."""
     if not end.begun and end.transport is not None:
         end.transport.abort()
 
 
-def _counted(program: Program) -> dict[str, int]:
+def _counter_values(program: Program) -> dict[str, int]:
     counters = program.counters
     names = ("queries", "executions", "served", "refused", "failed", "broken", "moved", "clients_gone", "overdue",
              "exceptions", "server_links", "server_links_reused", "crowded_out", "logs")  # fmt: skip
@@ -727,12 +742,12 @@
     return out | {f"outcome_{name}": count for name, count in counters.outcomes.items()}
 
 
-def _silence(program: Program) -> None:
-    """A killed process has no timers any more."""
+def _disable_timers(program: Program) -> None:
+    """Cancels the timers of a killed process, and prevents new ones."""
     if program.deadlines.armed is not None:
         program.deadlines.armed.cancel()
     program.deadlines.heap.clear()
-    program.deadlines.armed_at = -math.inf  # what is asked for from now on is never armed
+    program.deadlines.armed_at = -math.inf  # later deadlines are never armed
     program.core.watch = lambda on: None
     program.cluster.watch = None
 
@@ -776,33 +791,33 @@
 
 @contextlib.contextmanager
 def constants(changes: dict[str, float]) -> Any:
-    """Constants of choice.py, changed for the length of a run; a KeyError names one that isn't there."""
+    """Overrides constants of choice.py during a run. Raises KeyError for an unknown constant."""
     from pearstall import choice
 
-    before = {}
+    previous = {}
     for name, value in changes.items():
-        before[name] = vars(choice)[name]
-        setattr(choice, name, type(before[name])(value))
+        previous[name] = vars(choice)[name]
+        setattr(choice, name, type(previous[name])(value))
     try:
         yield
     finally:
-        for name, value in before.items():
+        for name, value in previous.items():
             setattr(choice, name, value)
 
 
 async def _main(
-    scenario: Scenario, seed: int, lines: _Ejections, progress: Callable[[float], object] | None = None,
+    scenario: Scenario, seed: int, ejections: _Ejections, progress: Callable[[float], object] | None = None,
     watch: Callable[[World], object] | None = None, trace: list[str] | None = None,
 ) -> Result:  # fmt: skip
     world = World(scenario, seed, trace)
     await world.build()
     await asyncio.sleep(0.2)
-    world.begin = lines.begin = world.loop.time()
+    world.begin = ejections.begin = world.loop.time()
     await world.faults()
     if world.devices is not None:
         world.devices.start()
 
-    async def tell() -> None:
+    async def report_progress() -> None:
         while True:
             await asyncio.sleep(1.0)
             if progress is not None:
@@ -811,7 +826,7 @@
                 watch(world)
 
     if progress is not None or watch is not None:
-        world.loop.create_task(tell())
+        world.loop.create_task(report_progress())
     await world.load()
     longest = max(klass.give_up for klass in scenario.classes)
     last = world.loop.now + 20 * longest
@@ -820,7 +835,7 @@
     while world.devices is not None and world.devices.open and world.loop.now < last + 300:
         await asyncio.sleep(0.5)
     if world.open:
-        world.breach(f"{world.open} clients still wait, {20 * longest:.0f} s after the last ask")
+        world.breach(f"{world.open} clients are still waiting {20 * longest:.0f} s after the last request")
     return world.finish()
 
 
@@ -828,34 +843,38 @@
     scenario: Scenario, seed: int, progress: Callable[[float], object] | None = None,
     watch: Callable[[World], object] | None = None, trace: list[str] | None = None,
 ) -> Result:  # fmt: skip
-    """One run. `trace` takes its lines, as they go into the digest. The product's log lines go nowhere; ejections
-    are read off them."""
+    """Runs a scenario in virtual time. `trace` collects the lines that go into the digest.
+
+    The routers' log lines are discarded after their ejections have been extracted.
+    """
     began = time.perf_counter()
-    lines = _Ejections()
+    ejections = _Ejections()
 
-    with constants(scenario.constants), contextlib.redirect_stderr(lines):
+    with constants(scenario.constants), contextlib.redirect_stderr(ejections):
         loop = VirtualLoop()
-        lines.loop = loop
-        result = run(_main(scenario, seed, lines, progress, watch, trace), loop)
-    lines.into(result, scenario)
+        ejections.loop = loop
+        result = run(_main(scenario, seed, ejections, progress, watch, trace), loop)
+    ejections.store(result, scenario)
     result.real_seconds = time.perf_counter() - began
     return result
 
 
 def play_on_sockets(scenario: Scenario, seed: int) -> Result:
-    """The same run in real time, on the machine's own loopback addresses: what virtual time is measured against. A
-    ValueError names a fault that needs the network in memory. Latencies are the machine's, not the scenario's."""
-    odd = sorted({fault.kind for fault in scenario.faults} & ONLY_VIRTUAL)
-    if odd or scenario.devices:
-        raise ValueError(f"not on sockets: {', '.join(odd) or 'devices'}")
+    """Runs a scenario in real time on the machine's loopback addresses, as a reference for virtual time.
+
+    Raises ValueError for faults that need the simulated network. Latencies are the machine's, not the scenario's.
+    """
+    unsupported = sorted({fault.kind for fault in scenario.faults} & ONLY_VIRTUAL)
+    if unsupported or scenario.devices:
+        raise ValueError(f"not supported on real sockets: {', '.join(unsupported) or 'devices'}")
     began = time.perf_counter()
-    lines = _Ejections()
+    ejections = _Ejections()
     loop = LoopbackLoop()
-    lines.loop = loop
-    with constants(scenario.constants), contextlib.redirect_stderr(lines):
+    ejections.loop = loop
+    with constants(scenario.constants), contextlib.redirect_stderr(ejections):
         try:
             asyncio.set_event_loop(loop)
-            result = loop.run_until_complete(_main(scenario, seed, lines))
+            result = loop.run_until_complete(_main(scenario, seed, ejections))
             left = asyncio.all_tasks(loop)
             for task in left:
                 task.cancel()
@@ -863,27 +882,27 @@
         finally:
             asyncio.set_event_loop(None)
             loop.close()
-    lines.into(result, scenario)
+    ejections.store(result, scenario)
     result.real_seconds = time.perf_counter() - began
     return result
 
 
 class _Ejections(io.StringIO):
-    """Standard error of the routers: which servers they ejected, and when."""
+    """Stands in for the routers' standard error and records which servers they ejected, and when."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.found: list[tuple[float, int]] = []  # seconds since the run's begin, the router's number of a server
+        self.observed: list[tuple[float, int]] = []  # seconds since the start, the routers' server id
         self.begin = 0.0
         self.loop: VirtualLoop | LoopbackLoop | None = None
 
-    def into(self, result: Result, scenario: Scenario) -> None:
+    def store(self, result: Result, scenario: Scenario) -> None:
         from pearstall.net.platform import number_of
 
         names = {number_of(f"s{n}"): f"s{n}" for n in range(scenario.servers)}
-        result.ejections = [(at, 0, names.get(id, "?")) for at, id in self.found]
+        result.ejections = [(at, 0, names.get(id, "?")) for at, id in self.observed]
 
     def write(self, text: str) -> int:
         if text.startswith("eject replica ") and self.loop is not None:
-            self.found.append((self.loop.now - self.begin, int(text.split(" ")[2])))
+            self.observed.append((self.loop.now - self.begin, int(text.split(" ")[2])))
         return len(text)
--- a/pearstall/models/__init__.py
+++ b/pearstall/models/__init__.py
@@ -1,1 +1,1 @@
-"""Exhaustive small models: the real objects, driven through every ordering of a few events."""
+"""Small exhaustive models: the real objects, driven through every ordering of a few events."""
--- a/pearstall/models/attempt.py
+++ b/pearstall/models/attempt.py
@@ -1,9 +1,9 @@
-"""The first machine: queries and their executions, on the real core with the real Router.
+"""Model `attempt`: queries and their executions, on the real core with the real Router.
 
-Servers, clients and the clock are scripted; every event that they can bring may come at any moment, and due timers
-fire one instant after the other, with any event before or behind them. The Router's draws are fixed, for a draw is
-no event: a shape names the draw. Predictions and other running means are left out of a state, so two states that
-differ in them only are taken for one: what is learned decides which server is picked, and not what a rule allows.
+Servers, clients and the clock are scripted. Any of their events may occur at any moment; timers fire in order, with
+any event before or after them. Random draws of the Router are not events, so each shape fixes their value. States
+omit predictions and other running means, so states that differ only in them count as equal: learned values decide
+which server is chosen, not what a rule allows.
 """
 
 from __future__ import annotations
@@ -16,41 +16,55 @@
 from typing import Any
 
 from pearstall.interface import ListKind, Replica, ReplicaList, Settings, State
-from pearstall.models.explore import Model, Property, run_out
+from pearstall.models.explore import Model, Property, fire_due_timers
 from pearstall.net.core import Blamed, Broken, Core, Declined, Execution, Query, Reach, Served
 from pearstall.net.counters import Counters
 from pearstall.net.deadlines import Deadlines
 
-S = 1_000_000
+S = 1_000_000  # microseconds per second
 AIM, GIVE_UP = 1.0, 2.0  # seconds
-LATE = 0.05
-MOST = 3
+DEADLINE_TOLERANCE = 0.05  # seconds
+MAX_EXECUTIONS = 3
 
 PROPERTIES = (
-    Property("one-final", "the rule on final answers", "A query is finally answered once at most."),
+    Property("one-final", "the rule on final answers", "A query gets at most one final answer."),
     Property(
         "in-time", "the rule on final answers", "By its deadline (+50 ms) a query is answered or has a first event."
     ),
     Property(
-        "answered", "the rule on final answers", "With nobody doing anything more, every query comes to its end."
+        "answered", "the rule on final answers", "Without further events from clients and servers, every query ends."
     ),
     Property("at-most-three", "the rule on executions", "No query has more than three executions."),
     Property(
         "never-two-out",
         "the rule on executions",
-        "An execution begins only when every earlier one has ended or its link was closed; with second copies, "
-        "all but one.",
+        "An execution begins only after every earlier one has ended or its connection was closed; with second "
+        "copies, all but one.",
     ),
-    Property("no-retry-behind-event", "the rule on executions", "Nothing is sent again once an event was passed on."),
-    Property("whole", "the rule on events", "What is passed on is one execution's events, in their order, once."),
-    Property("drain", "the rule on drains", "No execution goes to a server that is known to drain or to be gone."),
     Property(
-        "not-delayed", "final answers are not delayed", "What the Router has given up, its client has heard of."
+        "no-retry-behind-event",
+        "the rule on executions",
+        "A query is not retried once an event was forwarded to its client.",
+    ),
+    Property(
+        "whole", "the rule on events", "The client gets the events of one execution only, each once and in order."
+    ),
+    Property("drain", "the rule on drains", "No execution is sent to a server that is known to be draining or gone."),
+    Property(
+        "not-delayed", "final answers are not delayed", "When the Router gives up a query, its client is notified."
+    ),
+    Property(
+        "let-go",
+        "the rule on executions",
+        "A query with a final answer or a disconnected client has no open connection.",
+    ),
+    Property("books", "nothing leaks", "Core and Router agree on the number of executions in flight."),
+    Property("at-rest", "nothing leaks", "When all queries have ended, tables, ids, slots and timers are empty."),
+    Property(
+        "no-guard",
+        "deadlines",
+        "The guard timer after the deadline never has to answer, since the Router acts in time.",
     ),
-    Property("let-go", "the rule on executions", "Whoever has its final answer, or has gone, has nothing out."),
-    Property("books", "nothing leaks", "Core and Router agree on what is out."),
-    Property("at-rest", "nothing leaks", "When all is over, tables, ids, slots and timers are empty."),
-    Property("no-guard", "deadlines", "The guard behind the deadline never has to answer: the Router was in time."),
 )
 
 
@@ -59,7 +73,7 @@
     return Settings.from_mapping(
         {
             "tick": 5000,
-            "max_attempts": MOST,
+            "max_attempts": MAX_EXECUTIONS,
             "may_cancel": True,
             "cold_time": 10 * S,
             "cold_share": 0.2,
@@ -74,7 +88,7 @@
 
 
 class Clock:
-    """Moves only to the next timer."""
+    """A clock that advances only to the next timer."""
 
     def __init__(self) -> None:
         self.now, self.count = 100.0, 0
@@ -113,11 +127,11 @@
 
 
 class Carrier:
-    """A link to a server, as that server sees it."""
+    """A scripted connection to a server."""
 
     def __init__(self) -> None:
         self.given_up = False  # closed by the router
-        self.done = False  # the server has answered, or broken it
+        self.done = False  # the server has answered or closed it
 
     @property
     def open(self) -> bool:
@@ -129,62 +143,65 @@
     def pause(self, paused: bool) -> None: ...
 
 
-class Asked:
-    """One client: its query's answer, and the books on it."""
+class ScriptedClient:
+    """A scripted client with one query; records what it receives."""
 
     def __init__(self, number: int, whole: bool = False) -> None:
-        self.number, self.whole = number, whole  # whole: it gets its answer at its end, and events are kept back
-        self.kept: list[tuple[int, int]] = []
+        self.number, self.whole = number, whole  # whole: events are buffered until the answer ends
+        self.buffered: list[tuple[int, int]] = []
         self.query: Query | None = None
         self.handle = 0
-        self.said: list[str] = []  # final answers
-        self.events: list[tuple[int, int]] = []  # execution, number of the event
+        self.final_answers: list[str] = []
+        self.events: list[tuple[int, int]] = []  # execution, event number
         self.left = False
-        self.runs: list[Execution] = []
+        self.executions: list[Execution] = []
         self.carriers: list[Carrier] = []
-        self.made: dict[int, int] = {}  # events that each execution made
+        self.made: dict[int, int] = {}  # number of events per execution
 
     def gone(self) -> bool:
         return self.left
 
     def pass_on(self, events: bytes) -> bool:
-        run, at = map(int, events.split(b"."))
-        (self.kept if self.whole else self.events).append((run, at))
+        execution, at = map(int, events.split(b"."))
+        (self.buffered if self.whole else self.events).append((execution, at))
         return not self.whole
 
     def again(self) -> None:
-        self.kept = []
+        self.buffered = []
 
     def finish(self) -> None:
-        self.events += self.kept
-        self.said.append("served")
+        self.events += self.buffered
+        self.final_answers.append("served")
 
     def cut(self) -> None:
-        self.said.append("cut")
+        self.final_answers.append("cut")
 
     def refuse(self, retry_after: int) -> None:
-        self.said.append("refused")
+        self.final_answers.append("refused")
 
     def fail(self, timed_out: bool) -> None:
-        self.said.append("timed out" if timed_out else "failed")
+        self.final_answers.append("timed out" if timed_out else "failed")
 
     def blame(self, end: Blamed) -> None:
-        self.said.append("blamed")
+        self.final_answers.append("blamed")
 
     @property
     def over(self) -> bool:
-        return bool(self.said) or self.left
+        return bool(self.final_answers) or self.left
 
-    def live(self) -> Execution | None:
-        for run, carrier in zip(self.runs, self.carriers, strict=True):
-            if not run.ended and carrier.open:
-                return run
+    def live_execution(self) -> Execution | None:
+        for execution, carrier in zip(self.executions, self.carriers, strict=True):
+            if not execution.ended and carrier.open:
+                return execution
         return None
 
 
-class Attempts:
-    """`queries` and `servers`: how many; `draw`: what every random draw of the Router comes to; `lists`: changes of
-    the list at most; `hurries`: whether the program may be asked to end."""
+class AttemptMachine:
+    """The machine of this model.
+
+    `queries` and `servers` are counts, `draw` is the value of every random draw of the Router, `lists` the maximum
+    number of list changes; `may_hurry` enables the events of a shutdown.
+    """
 
     def __init__(
         self,
@@ -192,72 +209,80 @@
         servers: int = 2,
         draw: float = 0.3,
         lists: int = 2,
-        hurries: bool = True,
+        may_hurry: bool = True,
         events: int = 2,
         second_copies: bool = False,
         whole: bool = False,
     ) -> None:
         self.clock, self.counters = Clock(), Counters()
-        self.most_out = 2 if second_copies else 1
+        self.max_in_flight = 2 if second_copies else 1
         self.core = Core(RULES[second_copies], 1, Deadlines(self.clock), self.counters, self)
         self.core.router.random = lambda: draw
-        self.lists, self.hurries, self.most_events = lists, hurries, events
-        self.asked = [Asked(number, whole) for number in range(queries)]
-        self.by_query: dict[int, Asked] = {}
+        self.lists, self.may_hurry, self.max_events = lists, may_hurry, events
+        self.clients = [ScriptedClient(number, whole) for number in range(queries)]
+        self.by_query: dict[int, ScriptedClient] = {}
         self.status = dict.fromkeys(range(1, servers + 1), "ready")
-        self.found: list[str] = []
+        self.breaches_seen: list[str] = []
         self.premises: set[str] = set()
         self.hurried = False
         self.core.start()
         self._list(ListKind.FULL, {number: State.READY for number in self.status})
 
-    # -- what surrounds the core ---------------------------------------------------------------------------
+    # -- environment of the core ---------------------------------------------------------------------------
 
     def start(self, execution: Execution) -> Carrier | None:
-        asked = self.by_query[id(execution.query)]
+        client = self.by_query[id(execution.query)]
         if self.status[execution.replica] == "gone":
             return None
         self.premises.add("at-most-three")
-        if asked.runs:
+        if client.executions:
             self.premises.add("never-two-out")
-        out = [run.number for run, carrier in zip(asked.runs, asked.carriers, strict=True) if carrier.open]
-        if len(out) >= self.most_out:
-            self.found.append(f"never-two-out: {_name(asked)} again while {out} are out")
-        if len(asked.runs) >= MOST:
-            self.found.append(f"at-most-three: {_name(asked)} goes out for the {len(asked.runs) + 1}th time")
-        if asked.events:
-            self.found.append(f"no-retry-behind-event: {_name(asked)} goes out behind an event")
+        out = [
+            earlier.number
+            for earlier, carrier in zip(client.executions, client.carriers, strict=True)
+            if carrier.open
+        ]
+        if len(out) >= self.max_in_flight:
+            self.breaches_seen.append(f"never-two-out: {_name(client)} is sent again while {out} are in flight")
+        if len(client.executions) >= MAX_EXECUTIONS:
+            self.breaches_seen.append(f"at-most-three: {_name(client)} gets {len(client.executions) + 1} executions")
+        if client.events:
+            self.breaches_seen.append(f"no-retry-behind-event: {_name(client)} is sent again after an event")
         if "draining" in self.status.values() or "gone" in self.status.values():
             self.premises.add("drain")
         if self.status[execution.replica] != "ready":
-            self.found.append(f"drain: {_name(asked)} goes to {execution.replica}, {self.status[execution.replica]}")
-        if asked.over:
-            self.found.append(f"one-final: {_name(asked)} goes out though it is over")
+            self.breaches_seen.append(
+                f"drain: {_name(client)} goes to {execution.replica}, {self.status[execution.replica]}"
+            )
+        if client.over:
+            self.breaches_seen.append(f"one-final: {_name(client)} is sent again after it ended")
         carrier = Carrier()
-        asked.runs.append(execution)
-        asked.carriers.append(carrier)
+        client.executions.append(execution)
+        client.carriers.append(carrier)
         return carrier
 
     def _list(self, kind: ListKind, states: dict[int, State]) -> None:
         self.core.listed(ReplicaList(kind, [Replica(number, 0, 0, state) for number, state in states.items()]))
 
-    # -- the machine ---------------------------------------------------------------------------------------
+    # -- machine -------------------------------------------------------------------------------------------
 
     def events(self) -> list[str]:
         out = []
-        for asked in self.asked:
-            name = _name(asked)
-            if asked.query is None:
-                if asked.number == 0 or self.asked[asked.number - 1].query is not None:  # clients are alike
+        for client in self.clients:
+            name = _name(client)
+            if client.query is None:
+                if (
+                    client.number == 0 or self.clients[client.number - 1].query is not None
+                ):  # clients are interchangeable
                     out.append(f"ask {name}")
                 continue
-            if not asked.over:
+            if not client.over:
                 out.append(f"leave {name}")
-            run = asked.live()
-            if run is None:
+            execution = client.live_execution()
+            if execution is None:
                 continue
-            if run.streaming:
-                if asked.made.get(run.number, 0) < self.most_events:
+            if execution.streaming:
+                if client.made.get(execution.number, 0) < self.max_events:
                     out.append(f"event {name}")
                 out += [f"end {name}", f"reset {name}"]
             else:
@@ -276,55 +301,55 @@
                     "draining": [f"gone {number}"],
                     "gone": [f"back {number}"],
                 }[status]
-        if self.hurries and not self.hurried:
+        if self.may_hurry and not self.hurried:
             out += ["hurry", "move"]
         if self.clock.due():
             out.append("tick")
         return out
 
     def apply(self, event: str) -> None:
-        self.found, self.premises = [], set()
+        self.breaches_seen, self.premises = [], set()
         kind, _, rest = event.partition(" ")
         with contextlib.redirect_stderr(io.StringIO()):
             if kind == "tick":
                 self.clock.fire()
             elif kind in ("drain", "gone", "back"):
-                self._change(kind, int(rest))
+                self._change_list(kind, int(rest))
             elif kind == "hurry":
                 self.hurried = True
                 self.core.hurry(True, self.clock.now)
             elif kind == "move":
                 self.core.move_streams()
             elif kind == "ask":
-                self._ask(self.asked[int(rest[1:])])
+                self._ask(self.clients[int(rest[1:])])
             else:
-                self._of(kind, self.asked[int(rest[1:])])
+                self._apply_to_client(kind, self.clients[int(rest[1:])])
 
-    def _change(self, kind: str, number: int) -> None:
+    def _change_list(self, kind: str, number: int) -> None:
         self.lists -= 1
         self.status[number] = {"drain": "draining", "gone": "gone", "back": "ready"}[kind]
         state = {"drain": State.DRAINING, "gone": State.GONE, "back": State.READY}[kind]
         self._list(ListKind.DELTA, {number: state})
 
-    def _ask(self, asked: Asked) -> None:
+    def _ask(self, client: ScriptedClient) -> None:
         now = self.clock.now
-        asked.query = Query(0, now + GIVE_UP, asked, txn=_name(asked), prompt_tokens=100.0)
-        self.by_query[id(asked.query)] = asked
-        asked.handle = self.core.take(asked.query)
+        client.query = Query(0, now + GIVE_UP, client, txn=_name(client), prompt_tokens=100.0)
+        self.by_query[id(client.query)] = client
+        client.handle = self.core.take(client.query)
 
-    def _of(self, kind: str, asked: Asked) -> None:
+    def _apply_to_client(self, kind: str, client: ScriptedClient) -> None:
         if kind == "leave":
-            asked.left = True
-            self.core.client_gone(asked.handle)
+            client.left = True
+            self.core.client_gone(client.handle)
             return
-        run = asked.live()
-        assert run is not None
+        execution = client.live_execution()
+        assert execution is not None
         if kind == "event":
-            at = asked.made[run.number] = asked.made.get(run.number, 0) + 1
-            self.core.received(run, b"%d.%d" % (run.number, at))
+            at = client.made[execution.number] = client.made.get(execution.number, 0) + 1
+            self.core.received(execution, b"%d.%d" % (execution.number, at))
             return
-        asked.carriers[asked.runs.index(run)].done = True
-        reach = Reach.ANSWERING if run.streaming else Reach.FULLY_WRITTEN
+        client.carriers[client.executions.index(execution)].done = True
+        reach = Reach.ANSWERING if execution.streaming else Reach.FULLY_WRITTEN
         end: Any = {
             "end": Served(),
             "reset": Broken(reach, "reset"),
@@ -333,32 +358,41 @@
             "error": Declined(False),
             "blame": Blamed(400, b"{}", "application/json"),
         }[kind]
-        self.core.ended(run, end)
+        self.core.ended(execution, end)
 
     def state(self) -> object:
         now = self.clock.now
         router = self.core.router
         timers = sorted(
-            (round((when - now) * 1e6), getattr(deadline.call, "__qualname__", "") or repr(_told(deadline.call)))
+            (
+                round((when - now) * 1e6),
+                getattr(deadline.call, "__qualname__", "") or repr(_callback_name(deadline.call)),
+            )
             for when, _, deadline in self.core.deadlines.heap
             if deadline.call is not None
         )
-        numbers = {asked.handle: asked.number for asked in self.asked if asked.query is not None}
+        numbers = {client.handle: client.number for client in self.clients if client.query is not None}
         queries = [
             (
-                asked.query is not None,
-                tuple(asked.said),
-                tuple(asked.events),
-                asked.left,
-                tuple(asked.kept),
+                client.query is not None,
+                tuple(client.final_answers),
+                tuple(client.events),
+                client.left,
+                tuple(client.buffered),
                 tuple(
-                    (run.replica, run.streaming, run.ended, carrier.given_up, asked.made.get(run.number, 0))
-                    for run, carrier in zip(asked.runs, asked.carriers, strict=True)
+                    (
+                        execution.replica,
+                        execution.streaming,
+                        execution.ended,
+                        carrier.given_up,
+                        client.made.get(execution.number, 0),
+                    )
+                    for execution, carrier in zip(client.executions, client.carriers, strict=True)
                 ),
-                round((asked.query.deadline - now) * 1e6) if asked.query is not None and not asked.over else 0,
-                asked.query.in_flight if asked.query is not None else 0,
+                round((client.query.deadline - now) * 1e6) if client.query is not None and not client.over else 0,
+                client.query.in_flight if client.query is not None else 0,
             )
-            for asked in self.asked
+            for client in self.clients
         ]
         calls = sorted(
             (
@@ -383,126 +417,127 @@
             )
             for one in router.replicas.values()
         )
-        held = sorted(numbers.get(id, -1) for id in router.queued)
-        return (queries, calls, replicas, held, tuple(self.status.items()), timers, self.hurried, self.lists)
+        queued = sorted(numbers.get(id, -1) for id in router.queued)
+        return (queries, calls, replicas, queued, tuple(self.status.items()), timers, self.hurried, self.lists)
 
     def breaches(self) -> list[str]:
-        out = self.found
+        out = self.breaches_seen
         now, core, router = self.clock.now, self.core, self.core.router
-        for asked in self.asked:
-            query, name = asked.query, _name(asked)
+        for client in self.clients:
+            query, name = client.query, _name(client)
             if query is None:
                 continue
-            if len(asked.said) > 1:
-                out.append(f"one-final: {name} was told {', '.join(asked.said)}")
-            if asked.said and asked.left:
-                out.append(f"one-final: {name} has gone, and was told {asked.said[0]}")
-            live_run = asked.live()
-            begun = bool(asked.events) or (live_run is not None and live_run.streaming)
-            if not asked.over and not begun and now > query.deadline + LATE:
-                out.append(f"in-time: {name} waits {now - query.deadline:.3f} s past its deadline")
-            made = list(asked.events)
+            if len(client.final_answers) > 1:
+                out.append(f"one-final: {name} received {', '.join(client.final_answers)}")
+            if client.final_answers and client.left:
+                out.append(f"one-final: {name} disconnected, but received {client.final_answers[0]}")
+            live_run = client.live_execution()
+            begun = bool(client.events) or (live_run is not None and live_run.streaming)
+            if not client.over and not begun and now > query.deadline + DEADLINE_TOLERANCE:
+                out.append(f"in-time: {name} is unanswered {now - query.deadline:.3f} s after its deadline")
+            made = list(client.events)
             if made and (
-                len({run for run, _ in made}) > 1 or [at for _, at in made] != list(range(1, len(made) + 1))
+                len({execution for execution, _ in made}) > 1
+                or [at for _, at in made] != list(range(1, len(made) + 1))
             ):
-                out.append(f"whole: {name} was given {made}")
-            if "served" in asked.said and len(made) != (asked.made.get(made[0][0], 0) if made else 0):
+                out.append(f"whole: {name} received {made}")
+            if "served" in client.final_answers and len(made) != (client.made.get(made[0][0], 0) if made else 0):
                 out.append(f"whole: {name} was served with {len(made)} events")
-            live = sum(not run.ended for run in asked.runs)
-            open = sum(carrier.open for carrier in asked.carriers)
-            if asked.over and open:
-                out.append(f"let-go: {name} is over, and {open} of its links are open")
-            if open > self.most_out:
-                out.append(f"never-two-out: {name} has {open} links open")
+            live = sum(not execution.ended for execution in client.executions)
+            open = sum(carrier.open for carrier in client.carriers)
+            if client.over and open:
+                out.append(f"let-go: {name} has ended, but has {open} open connections")
+            if open > self.max_in_flight:
+                out.append(f"never-two-out: {name} has {open} open connections")
             if query.in_flight != live:
-                out.append(f"books: {name} has {live} out, and the core counts {query.in_flight}")
-            call = router.pending.get(asked.handle)
+                out.append(f"books: {name} has {live} in flight, but the core counts {query.in_flight}")
+            call = router.pending.get(client.handle)
             known = call.in_flight if call is not None else 0
             if known != live:
-                out.append(f"books: {name} has {live} out, and the Router counts {known}")
-            if not asked.over and call is None:
-                out.append(f"not-delayed: {name} is given up, and its client was not told")
-            if call is not None and call.answered and not asked.over:
-                out.append(f"not-delayed: the Router has answered {name}, and its client was not told")
+                out.append(f"books: {name} has {live} in flight, but the Router counts {known}")
+            if not client.over and call is None:
+                out.append(f"not-delayed: the Router gave up {name} without notifying its client")
+            if call is not None and call.answered and not client.over:
+                out.append(f"not-delayed: the Router answered {name} without notifying its client")
         if core.counters.overdue:
-            out.append("no-guard: an answer was overdue")
-        if all(asked.over for asked in self.asked if asked.query is not None) and not any(
-            not run.ended for asked in self.asked for run in asked.runs
+            out.append("no-guard: the guard timer had to answer")
+        if all(client.over for client in self.clients if client.query is not None) and not any(
+            not execution.ended for client in self.clients for execution in client.executions
         ):
-            out += self._left()
+            out += self._check_released()
         return out
 
-    def _left(self) -> list[str]:
-        """What is still held though all is over."""
+    def _check_released(self) -> list[str]:
+        """Checks that nothing is left after all queries have ended."""
         core, router = self.core, self.core.router
-        held = {
+        remaining = {
             "queries": len(core.queries),
             "ids": len(core.open_ids),
             "calls": len(router.pending),
-            "held": len(router.queued),
-            "out": router.in_flight,
+            "queued": len(router.queued),
+            "in flight": router.in_flight,
             "streams": sum(one.streams for one in router.replicas.values()),
             "waiting": sum(len(one.waiting) for one in router.replicas.values()),
         }
-        left = {name: count for name, count in held.items() if count}
+        left = {name: count for name, count in remaining.items() if count}
         return [f"at-rest: {left}"] if left else []
 
     def applied(self) -> Iterable[str]:
-        taken = [asked for asked in self.asked if asked.query is not None]
+        taken = [client for client in self.clients if client.query is not None]
         out = set(self.premises)
         if taken:
             out |= {"books", "not-delayed"}
-        if any(asked.over for asked in taken):
+        if any(client.over for client in taken):
             out |= {"one-final", "let-go"}
-        if taken and all(asked.over for asked in taken):
+        if taken and all(client.over for client in taken):
             out.add("at-rest")
-        if any(asked.events for asked in taken):
+        if any(client.events for client in taken):
             out |= {"whole"}
-            if any(asked.events and "cut" in asked.said for asked in taken):
+            if any(client.events and "cut" in client.final_answers for client in taken):
                 out.add("no-retry-behind-event")
-        if any(asked.query is not None and self.clock.now >= asked.query.deadline - 0.1 for asked in taken):
+        if any(client.query is not None and self.clock.now >= client.query.deadline - 0.1 for client in taken):
             out |= {"in-time", "no-guard"}
         return out
 
     def settle(self) -> list[str]:
-        """Servers say nothing more, and no client asks again: timers alone must bring everything to its end."""
-        if broken := run_out(self, self.clock.due):
+        """Without further events from servers and clients, timers alone must end every query."""
+        if broken := fire_due_timers(self, self.clock.due):
             return broken
-        open = [_name(asked) for asked in self.asked if asked.query is not None and not asked.over]
+        open = [_name(client) for client in self.clients if client.query is not None and not client.over]
         if open:
-            return [f"answered: {', '.join(open)} never came to an end"]
+            return [f"answered: {', '.join(open)} never ended"]
         if len(self.core.deadlines):
             return [f"at-rest: {len(self.core.deadlines)} timers"]
         return []
 
 
-def _name(asked: Asked) -> str:
-    return f"q{asked.number}"
+def _name(client: ScriptedClient) -> str:
+    return f"q{client.number}"
 
 
-def _told(call: Any) -> Any:
-    """What a timer will do, without where it lies in memory."""
+def _callback_name(call: Any) -> Any:
+    """Describes a timer's callback without memory addresses."""
     if isinstance(call, partial):
         return getattr(call.func, "__name__", ""), [str(one) for one in call.args if isinstance(one, int | str)]
     return getattr(call, "__name__", "")
 
 
-CALM = frozenset({"event", "end", "leave", "blame"})
+COMMUTING = frozenset({"event", "end", "leave", "blame"})
 
 
 def independent(one: str, other: str) -> bool:
-    """What neither sends anything nor counts for or against a server, at two different queries."""
+    """Events of two different queries that send nothing and do not affect the statistics of a server."""
     first, second = one.split(" "), other.split(" ")
-    return first[0] in CALM and second[0] in CALM and first[1] != second[1]
+    return first[0] in COMMUTING and second[0] in COMMUTING and first[1] != second[1]
 
 
-SHAPES: dict[str, Callable[[], Attempts]] = {
-    "one": partial(Attempts, 1, 2, 0.3, 2),
-    "one, other draw": partial(Attempts, 1, 3, 0.8, 1),
-    "two": partial(Attempts, 2, 2, 0.3, 1, False, 1),
-    "two, ending": partial(Attempts, 2, 2, 0.3, 0, True, 1),
-    "whole answers": partial(Attempts, 1, 2, 0.3, 1, True, 1, False, True),
-    "second copies": partial(Attempts, 1, 2, 0.3, 1, True, 1, True),
+SHAPES: dict[str, Callable[[], AttemptMachine]] = {
+    "one": partial(AttemptMachine, 1, 2, 0.3, 2),
+    "one, other draw": partial(AttemptMachine, 1, 3, 0.8, 1),
+    "two": partial(AttemptMachine, 2, 2, 0.3, 1, False, 1),
+    "two, ending": partial(AttemptMachine, 2, 2, 0.3, 0, True, 1),
+    "whole answers": partial(AttemptMachine, 1, 2, 0.3, 1, True, 1, False, True),
+    "second copies": partial(AttemptMachine, 1, 2, 0.3, 1, True, 1, True),
 }
 MODEL = Model(
     "attempt",
--- a/pearstall/models/catalogue.py
+++ b/pearstall/models/catalogue.py
@@ -1,4 +1,4 @@
-"""All models, and what is done with them: searches, sequences kept as files, the sessions' table drawn."""
+"""The registry of models, and operations on them: searches, stored sequences, and the diagram of ask states."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pearstall.models.explore import Breach, Found, Machine, Model, cores, search, shrunk, told
+from pearstall.models.explore import Breach, Machine, Model, SearchResult, cores, search, shrunk, trace_states
 
 MODULES = {
     "attempt": "pearstall.models.attempt",
@@ -19,17 +19,17 @@
 
 
 class Kept(msgspec.Struct, forbid_unknown_fields=True):
-    """A sequence in a file: tests play it again."""
+    """A sequence stored in a file, which the tests replay."""
 
     model: str
     shape: str
     sequence: list[str]
-    guards: str = ""  # what it guards against, a sentence
-    broke: str = ""  # what it broke when it was found
+    guards: str = ""  # the failure that it guards against, in a sentence
+    broke: str = ""  # the breach when it was found
 
 
 def model(name: str) -> Model:
-    """A KeyError where there is none of that name."""
+    """Returns the model of that name; raises KeyError if there is none."""
     found: Model = import_module(MODULES[name]).MODEL
     return found
 
@@ -41,11 +41,11 @@
     workers: int = 0,
     depth: int = 0,
     reduce: bool = True,
-    progress: Callable[[Found, int], object] = lambda found, left: None,
-) -> Found:
-    """One shape, to its depth in CI or to its deep one. A breach comes back shrunk."""
+    progress: Callable[[SearchResult, int], object] = lambda result, left: None,
+) -> SearchResult:
+    """Searches one shape to its CI depth or its deep one, and shrinks the sequence of a breach."""
     chosen = model(name)
-    found = search(
+    result = search(
         chosen,
         shape,
         depth or chosen.depths[shape][deep],
@@ -54,16 +54,16 @@
         reduce,
         progress=progress,
     )
-    if found.breach is not None:
-        found.breach = shrunk(chosen.shapes[shape], found.breach)
-    return found
+    if result.breach is not None:
+        result.breach = shrunk(chosen.shapes[shape], result.breach)
+    return result
 
 
-def untested(name: str, found: list[Found]) -> list[str]:
-    """Properties whose premise never held in any of these searches: they were not put to the test."""
-    tested = {key for one in found for key, count in one.applied.items() if count}
-    settled = any(one.settled for one in found)
-    last = {"answered", "freed", "converges"} if settled else set()  # these are asked where a search ends
+def untested(name: str, results: list[SearchResult]) -> list[str]:
+    """Returns the properties that no search exercised, because their premise never held."""
+    tested = {key for one in results for key, count in one.applied.items() if count}
+    settled = any(one.settled for one in results)
+    last = {"answered", "freed", "converges"} if settled else set()  # checked when states are settled
     return [one.name for one in model(name).properties if one.name not in tested | last]
 
 
@@ -77,7 +77,7 @@
 
 
 def read_kept(file: Path) -> Kept:
-    """A ValueError says what is wrong with it."""
+    """Reads a stored sequence. Raises ValueError with the reason if it is invalid."""
     try:
         kept = msgspec.json.decode(file.read_bytes(), type=Kept)
         machine(kept)
@@ -93,11 +93,11 @@
 
 
 def steps(kept: Kept) -> list[tuple[str, str]]:
-    return told(machine(kept), kept.sequence)
+    return trace_states(machine(kept), kept.sequence)
 
 
 def diagram() -> str:
-    """The table of an ask's states (edge/states.py), in DOT."""
+    """Returns the transition table of an ask (edge/states.py) in DOT format."""
     from pearstall.edge.states import TABLE
 
     lines = ["digraph ask {", '  rankdir=LR; node [shape=box, fontname="sans-serif"]; edge [fontname="sans-serif"];']
--- a/pearstall/models/client.py
+++ b/pearstall/models/client.py
@@ -1,8 +1,7 @@
-"""The fourth machine: a client's link, byte by byte, on the real `ClientLink` with the platform's front.
+"""Model `client`: a client connection, byte by byte, on the real `ClientLink` with the platform's front.
 
-A client sends queries, each cut at the borders of its tokens, one behind the other without waiting; it may end its
-side, reset, read slowly, or say nothing more. The core is scripted: it answers when the model says so, in every
-way there is.
+A client pipelines queries, each split at token boundaries; it may half-close, reset, read slowly, or become silent.
+The core is scripted: its answers, of every kind, are events of the model.
 """
 
 from __future__ import annotations
@@ -30,20 +29,22 @@
 
 PROPERTIES = (
     Property(
-        "one-answer", "the rule on final answers", "Each whole query gets one answer, and nothing else gets one."
+        "one-answer", "the rule on final answers", "Each complete query gets one answer, and nothing else does."
     ),
     Property(
         "framed",
         "RFC 9112",
-        "What is written is whole answers, one after the other, but for the last of an ended link.",
+        "The output is a sequence of complete answers; only the last one of a closed connection may be partial.",
     ),
-    Property("one-at-a-time", "the rule on queries", "A link has one query at the core at most."),
+    Property("one-at-a-time", "the rule on queries", "A connection has at most one open query at the core."),
     Property(
-        "gone-told", "the core is told", "The core hears once that a client has gone, and only of an open query."
+        "gone-told",
+        "the core is notified",
+        "The core is notified of a disconnected client once, and only for an open query.",
     ),
-    Property("silent-behind-end", "sockets", "Nothing is written to a link that was lost."),
-    Property("flow", "backpressure", "While the client's side is full, its query is held up; with room it is not."),
-    Property("freed", "bounded and freed", "A link that is lost leaves nothing behind; one left alone is ended."),
+    Property("silent-behind-end", "sockets", "Nothing is written to a lost connection."),
+    Property("flow", "backpressure", "A query is paused exactly while its client's write buffer is full."),
+    Property("freed", "bounded and freed", "A lost connection leaves nothing behind; a silent one is closed."),
 )
 
 HEAD = b"POST /v1/chat/completions HTTP/1.1\r\n"
@@ -71,7 +72,7 @@
 
 
 class Loop:
-    """What a link asks of a running loop."""
+    """The part of an event loop that a connection uses."""
 
     def __init__(self) -> None:
         self.soon: list[Callable[[], object]] = []
@@ -88,7 +89,7 @@
         super().__init__()
         self.out = b""
         self.closing = self.lost = self.half = False
-        self.odd: list[str] = []
+        self.breaches_seen: list[str] = []
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return (lambda: False) if name in ("pending", "gone") else default
@@ -103,9 +104,9 @@
 
     def write(self, data: Any) -> None:
         if self.lost:
-            self.odd.append("silent-behind-end: written behind the end")
+            self.breaches_seen.append("silent-behind-end: written after the connection was lost")
         if self.half:
-            self.odd.append("framed: written behind the half close")
+            self.breaches_seen.append("framed: written after the half close")
         if not self.closing:
             self.out += bytes(data)
 
@@ -120,7 +121,7 @@
 
 
 class ScriptedCore:
-    """The core's side of a link."""
+    """A scripted core."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines = deadlines
@@ -128,30 +129,30 @@
         self.open_ids: set[str] = set()
         self.taken = 0
         self.gone = 0
-        self.held = False
-        self.odd: list[str] = []
+        self.paused = False
+        self.breaches_seen: list[str] = []
         self.log = SILENT
 
     def take(self, query: Query) -> int:
         self.taken += 1
         query.handle = self.taken
         self.open[self.taken] = query
-        self.held = False
+        self.paused = False
         if len(self.open) > 1:
-            self.odd.append("one-at-a-time: two queries of one link are open")
+            self.breaches_seen.append("one-at-a-time: two queries of one connection are open")
         return self.taken
 
     def client_gone(self, handle: int) -> None:
         self.gone += 1
         if self.open.pop(handle, None) is None:
-            self.odd.append("gone-told: the core heard of a client whose query is not open")
+            self.breaches_seen.append("gone-told: the core was notified of a client whose query is not open")
 
     def pause(self, handle: int, paused: bool) -> None:
-        self.held = paused
+        self.paused = paused
 
 
-class Client:
-    """`queries`: what is sent, in tokens; `leaves`: whether the program may be asked to end."""
+class ClientMachine:
+    """The machine of this model; `queries` lists each query's tokens, `leaves` enables the event of a shutdown."""
 
     def __init__(self, queries: list[list[bytes]], leaves: bool = True) -> None:
         self.clock, self.counters, self.loop = Clock(), Counters(), Loop()
@@ -164,12 +165,12 @@
         self.tokens = [token for query in queries for token in query]
         self.ends = {sum(map(len, queries[: number + 1])) for number in range(len(queries))}
         self.at = 0
-        self.whole = 0  # queries sent whole
+        self.whole = 0  # number of queries sent completely
         self.leaves = leaves
         self.full = False
         self.lost = False
         self.events_made = 0
-        self.found: list[str] = []
+        self.breaches_seen: list[str] = []
         with self._running():
             self.link.connection_made(self.transport)
 
@@ -204,8 +205,8 @@
         return out
 
     def apply(self, event: str) -> None:
-        self.found = []
-        self.core.odd, self.transport.odd = [], []
+        self.breaches_seen = []
+        self.core.breaches_seen, self.transport.breaches_seen = [], []
         with self._running():
             self._apply(event)
 
@@ -216,9 +217,9 @@
             if self.at in self.ends:
                 self.whole += 1
             while token:
-                room = memoryview(self.link.get_buffer(-1))
-                part = token[: len(room)]
-                room[: len(part)] = part
+                free = memoryview(self.link.get_buffer(-1))
+                part = token[: len(free)]
+                free[: len(part)] = part
                 self.link.buffer_updated(len(part))
                 token = token[len(part) :]
         elif event == "eof":
@@ -254,17 +255,17 @@
             return
         del self.core.open[handle]
         self.events_made = 0
-        says: dict[str, Callable[[], None]] = {
+        answers: dict[str, Callable[[], None]] = {
             "finish": answer.finish,
             "cut": answer.cut,
             "refuse": partial(answer.refuse, 0),
             "fail": partial(answer.fail, False),
             "blame": partial(answer.blame, Blamed(400, b"{}", "text/plain")),
         }
-        says[event]()
+        answers[event]()
 
     def _written(self) -> tuple[list[int], bytes]:
-        """Statuses of whole answers, and what is written beyond them."""
+        """Returns the statuses of complete answers and the bytes after them; `?` if the output is malformed."""
         buffer = Buffer()
         statuses: list[int] = []
         buffer.add(self.transport.out)
@@ -298,7 +299,7 @@
             self.full,
             tuple(self.core.open),
             self.core.gone,
-            self.core.held,
+            self.core.paused,
             self.events_made,
             timers,
             link.busy,
@@ -313,29 +314,29 @@
         )
 
     def breaches(self) -> list[str]:
-        out = self.found + self.core.odd + self.transport.odd
+        out = self.breaches_seen + self.core.breaches_seen + self.transport.breaches_seen
         statuses, rest = self._written()
         sent = self.whole + self.counters.malformed + self.counters.crowded_out
         if len(statuses) > sent:
             out.append(f"one-answer: {len(statuses)} answers to {self.whole} queries")
         streaming = bool(self.core.open) and self.events_made > 0
         if rest and not (streaming or self.transport.closing or self.link.closing):
-            out.append(f"framed: {rest!r} is written, and no answer is under way")
+            out.append(f"framed: {rest!r} is written, but no answer is in progress")
         if rest == b"?":
-            out.append(f"framed: {self.transport.out!r} can't be read")
+            out.append(f"framed: {self.transport.out!r} can't be parsed")
         if self.counters.exceptions:
-            out.append("no-exception: one stopped at the link")
+            out.append("no-exception: one was caught at the connection")
         streams = streaming and not self.lost and not self.transport.closing
-        if streams and self.full != self.core.held:
-            out.append(f"flow: the client's side is {'full' if self.full else 'open'}, and its query is not so")
+        if streams and self.full != self.core.paused:
+            out.append(f"flow: the client's buffer is {'full' if self.full else 'open'}, but its query is not")
         if self.lost:
             if self.core.open:
-                out.append("gone-told: the client has gone, and its query is open")
+                out.append("gone-told: the client has disconnected, but its query is open")
             left = {
-                "links": len(self.links.links),
-                "owing": len(self.links.awaiting_request),
-                "held": self.links.body_bytes,
-                "resting": len(self.links.between_requests),
+                "connections": len(self.links.links),
+                "awaiting request": len(self.links.awaiting_request),
+                "body bytes": self.links.body_bytes,
+                "between requests": len(self.links.between_requests),
                 "timers": len(self.core.deadlines),
             }
             if any(left.values()):
@@ -355,7 +356,7 @@
         return out
 
     def settle(self) -> list[str]:
-        """The client says nothing more and reads; the core answers what it has."""
+        """The client sends nothing more and reads; the core answers its open queries."""
         for _ in range(TICKS):
             names = self.events()
             for event in ("room", "lost", "turn", "finish", "fail", "tick"):
@@ -366,17 +367,17 @@
                 break
             if broken := self.breaches():
                 return broken
-        return [] if self.lost else ["freed: a link that says nothing was not ended"]
+        return [] if self.lost else ["freed: a silent connection was not closed"]
 
 
-SHAPES: dict[str, Callable[[], Client]] = {
-    "pipelined": partial(Client, [FIRST, SECOND]),
-    "malformed": partial(Client, [SECOND, BAD]),
-    "HTTP/1.0": partial(Client, [OLD]),
+SHAPES: dict[str, Callable[[], ClientMachine]] = {
+    "pipelined": partial(ClientMachine, [FIRST, SECOND]),
+    "malformed": partial(ClientMachine, [SECOND, BAD]),
+    "HTTP/1.0": partial(ClientMachine, [OLD]),
 }
 MODEL = Model(
     "client",
-    "a client's link, byte by byte: pipelined queries, bad chunks, half closes, resets, full buffers",
+    "a client's connection, byte by byte: pipelined queries, bad chunks, half closes, resets, full buffers",
     PROPERTIES,
     dict(SHAPES),
     {"pipelined": (13, 22), "malformed": (13, 22), "HTTP/1.0": (12, 12)},
--- a/pearstall/models/explore.py
+++ b/pearstall/models/explore.py
@@ -1,11 +1,10 @@
-"""Explicit-state search over real objects: every ordering of a few events, breadth first, so that the first breach
-has the shortest sequence.
-
-A *machine* wraps real objects. It names the events that may happen now, applies one, and tells its canonical
-state; the state's BLAKE3 digest is what is remembered of it. A state is restored by replaying its sequence from
-the beginning: the product's timers and callbacks are closures over its objects, which no copy follows. After
-Holzmann, *The Model Checker SPIN* (1997); the reduction is Godefroid's sleep sets (1996): of two independent
-events one order is enough.
+"""Explicit-state model checking of real objects: explores every ordering of a few events.
+
+The search is breadth first, so the first breach found has a shortest sequence. A *machine* wraps real objects: it
+lists the events that are enabled, applies one, and returns its canonical state. Visited states are stored as BLAKE3
+digests. A state is restored by replaying its sequence from the start, because the product's timers and callbacks are
+closures over its objects, which copying would not rebind. See Holzmann, *The Model Checker SPIN* (1997). The
+partial-order reduction uses Godefroid's sleep sets (1996): two independent events are explored in one order only.
 """
 
 from __future__ import annotations
@@ -21,58 +20,63 @@
 
 from blake3 import blake3
 
-DIGEST = 12  # bytes: at ten million states two share one with a chance of 1 to 10^15
-CHUNK = 400  # states that a worker expands at a time
+DIGEST = 12  # bytes; with ten million states the probability of a collision is 1 in 10^15
+CHUNK = 400  # states per task of a worker process
 
 
 class Machine(Protocol):
-    """Events are names: the same name means the same thing in every state."""
+    """Events are identified by name; a name means the same event in every state."""
 
     def events(self) -> list[str]: ...
 
     def apply(self, event: str) -> None: ...
 
     def state(self) -> object:
-        """Whatever two states must differ in to be different; ids renamed, times relative."""
+        """Returns the canonical state: all that distinguishes two states, with ids renamed and times relative."""
 
     def breaches(self) -> list[str]:
-        """Properties that the last step, or the state, breaks: `name: what`."""
+        """Returns the properties that the last step or the state violates, as `name: description`."""
 
     def applied(self) -> Iterable[str]:
-        """Properties that were put to the test by the last step: their premise held."""
+        """Returns the properties that the last step exercised, because their premise held."""
 
     def settle(self) -> list[str]:
-        """Lets a fair environment go on from here, until nothing is due. Breaches of what must then hold."""
+        """Runs a fair environment until no timer is pending; returns breaches of the liveness properties."""
 
 
 @dataclass(frozen=True, slots=True)
 class Property:
-    """`source`: the rule that it stands for."""
+    """A property to check; `source` names the rule that it formalises."""
 
     name: str
     source: str
     says: str
 
 
-NO_EXCEPTION = Property("no-exception", "exceptions stop at the connection", "No event raises out of the machine.")
+NO_EXCEPTION = Property(
+    "no-exception", "exceptions stop at the connection", "No event lets an exception escape the machine."
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A machine with its properties. `shapes`: named sizes, each a way to make one; `independent` says whether two
-    events commute in every state, which the tests prove against the full search."""
+    """A machine with its properties.
+
+    `shapes` are named configurations, each a factory of a machine. `independent` says whether two events commute in
+    every state; the tests compare the reduced search with the full one.
+    """
 
     name: str
     says: str
     properties: tuple[Property, ...]
     shapes: dict[str, Callable[[], Machine]]
-    depths: dict[str, tuple[int, int]]  # of each shape: in CI, and deep
+    depths: dict[str, tuple[int, int]]  # per shape: in CI, and with --deep
     independent: Callable[[str, str], bool] = lambda one, other: False
 
 
 @dataclass(slots=True)
 class Breach:
-    """A property broken, and the shortest sequence to it that there is."""
+    """A violated property and a shortest sequence of events that leads to it."""
 
     model: str
     shape: str
@@ -85,16 +89,16 @@
 
 
 @dataclass(slots=True)
-class Found:
-    """What a search came to."""
+class SearchResult:
+    """The outcome and statistics of a search."""
 
     model: str
     shape: str
     depth: int = 0
     states: int = 0
     transitions: int = 0
-    slept: int = 0  # transitions that the reduction left out
-    whole: bool = False  # nothing new was left at that depth
+    slept: int = 0  # transitions skipped by the reduction
+    whole: bool = False  # the state space was exhausted at that depth
     seconds: float = 0.0
     settled: int = 0
     breach: Breach | None = None
@@ -120,7 +124,7 @@
 
 
 def step(machine: Machine, event: str) -> list[str]:
-    """Applies it; what is broken then. An exception breaks `no-exception`, which every machine has."""
+    """Applies an event and returns the breaches. An exception violates `no-exception`, which every machine has."""
     try:
         machine.apply(event)
     except Exception as error:
@@ -135,8 +139,8 @@
         return [f"{NO_EXCEPTION.name}: {type(error).__name__}: {error}"]
 
 
-def run_out(machine: Machine, due: Callable[[], bool], most: int = 300) -> list[str]:
-    """Fires timers until none is due; the first breach on the way."""
+def fire_due_timers(machine: Machine, due: Callable[[], bool], most: int = 300) -> list[str]:
+    """Fires timers until none is pending, and returns the first breach on the way."""
     for _ in range(most):
         if not due():
             break
@@ -151,8 +155,8 @@
 
 
 @dataclass(slots=True)
-class _Part:
-    """What a worker found from its share of a level."""
+class _ChunkResult:
+    """The result of expanding one chunk of a level."""
 
     children: list[tuple[bytes, tuple[str, ...], frozenset[str]]] = field(default_factory=list)
     transitions: int = 0
@@ -163,26 +167,27 @@
     breach: tuple[tuple[str, ...], str] | None = None
 
 
-# A sequence, the events that sleep behind it, and where it was met before: those that woke up, and only those.
+# A sequence, its sleep set and, where the state was visited before, the only events to explore: those that left its
+# sleep set.
 Node = tuple[tuple[str, ...], frozenset[str], frozenset[str] | None]
 
 
 def expand(
     make: Callable[[], Machine], nodes: list[Node], independent: Callable[[str, str], bool] | None, last: bool
-) -> _Part:
-    """All steps out of these states. `last`: what is new isn't gone on with, and a fair environment settles it."""
-    out = _Part()
+) -> _ChunkResult:
+    """Applies every enabled event to each state. At the `last` level, new states are settled and not expanded."""
+    out = _ChunkResult()
     seen: set[bytes] = set()
-    for sequence, sleeping, only in nodes:
+    for sequence, sleep_set, only in nodes:
         machine: Machine | None = replayed(make, sequence)
         assert machine is not None
         names = machine.events()
-        done: list[str] = []
+        explored: list[str] = []
         for name in names:
             if only is not None and name not in only:
-                done.append(name)
+                explored.append(name)
                 continue
-            if name in sleeping:
+            if name in sleep_set:
                 out.slept += 1
                 continue
             one = machine if machine is not None else replayed(make, sequence)
@@ -191,26 +196,26 @@
             out.events[kind_of(name)] += 1
             broken = step(one, name)
             out.applied.update(one.applied())
-            mark = digest(one)
-            if not broken and last and mark not in seen:
+            key = digest(one)
+            if not broken and last and key not in seen:
                 broken = settled(one)
                 out.settled += 1
             if broken:
-                found = (*sequence, name), broken[0]
-                if out.breach is None or len(found[0]) < len(out.breach[0]):
-                    out.breach = found
+                result = (*sequence, name), broken[0]
+                if out.breach is None or len(result[0]) < len(out.breach[0]):
+                    out.breach = result
                 continue
-            asleep: frozenset[str] = frozenset()
+            child_sleep_set: frozenset[str] = frozenset()
             if independent is not None:
-                asleep = frozenset(other for other in (*sleeping, *done) if independent(other, name))
-            done.append(name)
-            if independent is not None or mark not in seen:
-                seen.add(mark)
-                out.children.append((mark, (*sequence, name), asleep))
+                child_sleep_set = frozenset(other for other in (*sleep_set, *explored) if independent(other, name))
+            explored.append(name)
+            if independent is not None or key not in seen:
+                seen.add(key)
+                out.children.append((key, (*sequence, name), child_sleep_set))
     return out
 
 
-def _work(module: str, model: str, shape: str, nodes: list[Node], reduce: bool, last: bool) -> _Part:
+def _expand_chunk(module: str, model: str, shape: str, nodes: list[Node], reduce: bool, last: bool) -> _ChunkResult:
     from importlib import import_module
 
     chosen: Model = import_module(module).MODEL
@@ -225,14 +230,14 @@
     workers: int = 1,
     reduce: bool = False,
     most: int = 5_000_000,
-    progress: Callable[[Found, int], object] = lambda found, left: None,
-) -> Found:
-    """Breadth first to `depth` events, or to `most` states. `module`: where worker processes find the model."""
+    progress: Callable[[SearchResult, int], object] = lambda result, left: None,
+) -> SearchResult:
+    """Searches breadth first to `depth` events or `most` states. Worker processes import the model from `module`."""
     make = model.shapes[shape]
-    found = Found(model.name, shape)
+    result = SearchResult(model.name, shape)
     began = time.perf_counter()
     first = digest(make())
-    visited: dict[bytes, frozenset[str]] = {first: frozenset()}  # what sleeps in each
+    visited: dict[bytes, frozenset[str]] = {first: frozenset()}  # state -> its sleep set
     level: list[Node] = [((), frozenset(), None)]
     independent = model.independent if reduce else None
     pool = None
@@ -240,49 +245,51 @@
         context = multiprocessing.get_context("spawn")
         pool = concurrent.futures.ProcessPoolExecutor(workers, mp_context=context)
     try:
-        while level and found.depth < depth and len(visited) < most:
-            last = found.depth + 1 == depth
-            found.depth += 1
+        while level and result.depth < depth and len(visited) < most:
+            last = result.depth + 1 == depth
+            result.depth += 1
             fresh: list[Node] = []
             size = CHUNK if len(level) > workers * CHUNK else max(1, -(-len(level) // (4 * workers)))
             chunks = [level[at : at + size] for at in range(0, len(level), size)]
-            parts: Iterable[_Part]
+            parts: Iterable[_ChunkResult]
             if pool is not None and len(level) > 50:
-                tasks = [pool.submit(_work, module, model.name, shape, chunk, reduce, last) for chunk in chunks]
+                tasks = [
+                    pool.submit(_expand_chunk, module, model.name, shape, chunk, reduce, last) for chunk in chunks
+                ]
                 parts = (task.result() for task in tasks)
             else:
                 parts = (expand(make, chunk, independent, last) for chunk in chunks)
             breach: tuple[tuple[str, ...], str] | None = None
             for number, part in enumerate(parts):
-                found.transitions += part.transitions
-                found.slept += part.slept
-                found.settled += part.settled
-                found.applied.update(part.applied)
-                found.events.update(part.events)
+                result.transitions += part.transitions
+                result.slept += part.slept
+                result.settled += part.settled
+                result.applied.update(part.applied)
+                result.events.update(part.events)
                 if part.breach is not None and breach is None:
                     breach = part.breach
-                for mark, sequence, asleep in part.children:
-                    before = visited.get(mark)
+                for key, sequence, child_sleep_set in part.children:
+                    before = visited.get(key)
                     if before is None:
-                        visited[mark] = asleep
-                        fresh.append((sequence, asleep, None))
-                    elif woken := before - asleep:
-                        visited[mark] = before & asleep
-                        fresh.append((sequence, before & asleep, woken))
-                found.states = len(visited)
-                found.seconds = time.perf_counter() - began
-                progress(found, len(chunks) - number - 1)
-            found.levels.append(len(fresh))
+                        visited[key] = child_sleep_set
+                        fresh.append((sequence, child_sleep_set, None))
+                    elif woken := before - child_sleep_set:
+                        visited[key] = before & child_sleep_set
+                        fresh.append((sequence, before & child_sleep_set, woken))
+                result.states = len(visited)
+                result.seconds = time.perf_counter() - began
+                progress(result, len(chunks) - number - 1)
+            result.levels.append(len(fresh))
             if breach is not None:
-                found.breach = Breach(model.name, shape, breach[1], list(breach[0]))
+                result.breach = Breach(model.name, shape, breach[1], list(breach[0]))
                 break
             level = fresh
-        found.whole = not level
+        result.whole = not level
     finally:
         if pool is not None:
             pool.shutdown(cancel_futures=True)
-    found.states, found.seconds = len(visited), time.perf_counter() - began
-    return found
+    result.states, result.seconds = len(visited), time.perf_counter() - began
+    return result
 
 
 def cores() -> int:
@@ -290,22 +297,22 @@
 
 
 def shrunk(make: Callable[[], Machine], breach: Breach) -> Breach:
-    """Events that the breach doesn't need are taken out, one by one; what is left breaks the same property."""
+    """Removes events one by one as long as the rest still violates the same property."""
     names = breach.sequence
     again = True
     while again:
         again = False
         for at in range(len(names) - 1, -1, -1):
             fewer = names[:at] + names[at + 1 :]
-            what = breaks(make, fewer)
+            what = first_breach(make, fewer)
             if what is not None and what.partition(":")[0] == breach.property:
                 names, again = fewer, True
                 break
-    return Breach(breach.model, breach.shape, breaks(make, names) or breach.what, names)
+    return Breach(breach.model, breach.shape, first_breach(make, names) or breach.what, names)
 
 
-def breaks(make: Callable[[], Machine], names: Iterable[str]) -> str | None:
-    """The first breach of that sequence, or of its settling; None too where an event of it can't happen there."""
+def first_breach(make: Callable[[], Machine], names: Iterable[str]) -> str | None:
+    """Returns the first breach of a sequence or of its settling; None if there is none or an event is not enabled."""
     machine = make()
     for name in names:
         if name not in machine.events():
@@ -316,8 +323,8 @@
     return left[0] if left else None
 
 
-def told(make: Callable[[], Machine], names: Iterable[str]) -> list[tuple[str, str]]:
-    """Each event of a sequence with the state that it left, for people."""
+def trace_states(make: Callable[[], Machine], names: Iterable[str]) -> list[tuple[str, str]]:
+    """Returns each event of a sequence with the state after it, for display."""
     machine = make()
     out = [("", str(machine.state()))]
     for name in names:
--- a/pearstall/models/listing.py
+++ b/pearstall/models/listing.py
@@ -1,11 +1,11 @@
-"""The third machine: the list of servers, on the real cluster, core and Router, behind a scripted discovery.
+"""Model `list`: the list of servers, on the real cluster, core and Router, with a scripted discovery.
 
-Discovery keeps a log of changes with an index. The watch tells them one by one; it may break and be resumed from
-the index held, be told a snapshot instead, or meet a discovery that has forgotten what changed when. A name may
-leave and come back, and an address may come back under another name, while an execution is out there.
+Discovery keeps an indexed log of changes, which the watch delivers one by one. The watch may break and resume from
+the last index, receive a snapshot instead, or reconnect to a discovery that has lost its log. A name may leave and
+come back, and an address may come back under another name, while an execution is in flight there.
 
-Left out: a discovery that counts anew and has passed the index held before the watch is back. Nobody can tell its
-changes from those that were missed; the search finds that at once (drain, snapshot, restart, gone).
+Not modelled: a discovery that restarts its index and passes the watch's last index before the watch resumes. Its
+changes can't be told from the missed ones; the search finds this at once (drain, snapshot, restart, gone).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from functools import partial
 
 from pearstall.interface import ListKind, ReplicaList
-from pearstall.models.attempt import RULES, Asked, Carrier, Clock
+from pearstall.models.attempt import RULES, Carrier, Clock, ScriptedClient
 from pearstall.models.explore import Model, Property
 from pearstall.net.cluster import Cluster
 from pearstall.net.config import Names
@@ -28,26 +28,36 @@
 from pearstall.net.platform import number_of
 
 TICKS = 200
-PATIENCE = 2.0
+QUERY_TIMEOUT = 2.0  # seconds
 
 PROPERTIES = (
-    Property("as-told", "lists", "The addresses held are those of the list as it was told, after every change."),
-    Property("ready", "the rule on drains", "The Router takes for ready just what the told list says is ready."),
-    Property("drain", "the rule on drains", "No execution goes to a server that the told list has not as ready."),
-    Property("address", "lists", "An execution goes to the address that its server has in the told list."),
-    Property("converges", "lists", "Once all is told, what is held is the truth, whatever broke on the way."),
-    Property("answered", "the rule on final answers", "Whatever becomes of the list, every query comes to its end."),
-    Property("never-two-out", "the rule on executions", "A change of the list never doubles an execution."),
-    Property("asks-again", "lists", "A watch that broke is asked for again."),
-    Property("freed", "nothing leaks", "What has left the list, and has nothing out, is not held."),
+    Property("as-told", "lists", "After every change, the addresses are those of the announced list."),
+    Property(
+        "ready",
+        "the rule on drains",
+        "The Router's ready replicas are exactly those that the announced list has as ready.",
+    ),
+    Property(
+        "drain",
+        "the rule on drains",
+        "No execution is sent to a server that the announced list does not have as ready.",
+    ),
+    Property("address", "lists", "An execution is sent to its server's address in the announced list."),
+    Property("converges", "lists", "Once all changes are announced, the list is correct, whatever broke before."),
+    Property("answered", "the rule on final answers", "Every query ends, whatever happens to the list."),
+    Property(
+        "never-two-out", "the rule on executions", "A change of the list never causes a second concurrent execution."
+    ),
+    Property("asks-again", "lists", "A broken watch is requested again."),
+    Property("freed", "nothing leaks", "A server that left the list and has nothing in flight is removed."),
 )
 
 WATCHED = replace(RULES[False], subscribe=True)
-Truth = dict[str, tuple[str, str]]  # name -> address, status
+ServerRows = dict[str, tuple[str, str]]  # name -> address, status
 
 
-class Listing:
-    """`changes`, `breaks`: how many at most; `asks`: queries."""
+class ListMachine:
+    """The machine of this model; `changes` and `breaks` are maximum counts, `asks` is the number of queries."""
 
     def __init__(self, changes: int = 3, breaks: int = 1, asks: int = 1) -> None:
         self.clock, self.counters = Clock(), Counters()
@@ -56,152 +66,154 @@
         self.cluster = Cluster(self.core, Names(), None, now=lambda: 0.0)
         self.core.watch = self._watch
         self.changes, self.breaks = changes, breaks
-        self.found: list[str] = []
+        self.breaches_seen: list[str] = []
         self.premises: set[str] = set()
         self.connected = False
-        self.truth: Truth = {"a": ("x:1", "ready"), "b": ("y:1", "ready")}
-        self.told: Truth = {}
+        self.actual: ServerRows = {"a": ("x:1", "ready"), "b": ("y:1", "ready")}
+        self.announced: ServerRows = {}
         self.log: list[tuple[int, str, tuple[str, str]]] = []
         self.index = 1
-        self.begun = False  # the whole list was told once
-        self.sent = 1  # the last index that the open watch told
-        self.asked = [Asked(number) for number in range(asks)]
-        self.by_query: dict[int, Asked] = {}
+        self.snapshot_received = False  # the watch has delivered the whole list
+        self.sent = 1  # the last index that the open watch delivered
+        self.clients = [ScriptedClient(number) for number in range(asks)]
+        self.by_query: dict[int, ScriptedClient] = {}
         self.core.start()
 
     def _watch(self, on: bool) -> None:
         self.connected = on
 
     def start(self, execution: Execution) -> Carrier | None:
-        asked = self.by_query[id(execution.query)]
+        client = self.by_query[id(execution.query)]
         names = {number_of(name): name for name in ("a", "b", "c")}
         name = names[execution.replica]
-        row = self.told.get(name)
+        row = self.announced.get(name)
         self.premises |= {"drain", "address"}
         if row is None or row[1] != "ready":
-            self.found.append(f"drain: q{asked.number} goes to {name}, which the list has as {row}")
+            self.breaches_seen.append(f"drain: q{client.number} is sent to {name}, which the list has as {row}")
         where = self.cluster.addresses.get(execution.replica)
         if where is None:
             return None
         if row is not None and f"{where[0]}:{where[1]}" != row[0]:
-            self.found.append(f"address: q{asked.number} goes to {where} for {name}, which is at {row[0]}")
-        if asked.live() is not None:
-            self.found.append(f"never-two-out: q{asked.number} again")
+            self.breaches_seen.append(
+                f"address: q{client.number} is sent to {where} for {name}, which is at {row[0]}"
+            )
+        if client.live_execution() is not None:
+            self.breaches_seen.append(f"never-two-out: q{client.number} is sent again")
         carrier = Carrier()
-        asked.runs.append(execution)
-        asked.carriers.append(carrier)
+        client.executions.append(execution)
+        client.carriers.append(carrier)
         return carrier
 
     def events(self) -> list[str]:
         out = []
         if self.changes:
-            for name, (_, status) in self.truth.items():
+            for name, (_, status) in self.actual.items():
                 out += [f"drain {name}"] if status == "ready" else []
                 out += [f"gone {name}"] if status != "gone" else [f"back {name}"]
-            if self.truth["a"][1] == "gone" and "c" not in self.truth:
+            if self.actual["a"][1] == "gone" and "c" not in self.actual:
                 out.append("rename a")
-        if self.connected and self.begun and self.sent < self.index:
+        if self.connected and self.snapshot_received and self.sent < self.index:
             out.append("tell")
-        if self.connected and not self.begun:
+        if self.connected and not self.snapshot_received:
             out.append("snapshot")
-        if self.breaks and self.connected and self.begun:
+        if self.breaks and self.connected and self.snapshot_received:
             out += ["break", "restart", "snapshot", "repeat"]
         if self.clock.due():
             out.append("tick")
-        for asked in self.asked:
-            if asked.query is None:
-                out.append(f"ask q{asked.number}")
-            elif not asked.over and asked.live() is not None:
-                out += [f"end q{asked.number}", f"reset q{asked.number}"]
+        for client in self.clients:
+            if client.query is None:
+                out.append(f"ask q{client.number}")
+            elif not client.over and client.live_execution() is not None:
+                out += [f"end q{client.number}", f"reset q{client.number}"]
         return out
 
-    def _take(self, rows: list[tuple[str, tuple[str, str]]], snapshot: bool, index: int) -> None:
+    def _deliver(self, rows: list[tuple[str, tuple[str, str]]], snapshot: bool, index: int) -> None:
         if snapshot:
-            self.told = {}
+            self.announced = {}
         for name, row in rows:
             if row[1] == "gone":
-                self.told.pop(name, None)
+                self.announced.pop(name, None)
             else:
-                self.told[name] = row
+                self.announced[name] = row
         hosts = [Host(name=name, address=address, status=status) for name, (address, status) in rows]
         self.cluster.take(
             HostList(index=index, snapshot=snapshot, hosts=hosts), ListKind.FULL if snapshot else ListKind.DELTA
         )
 
     def _snapshot(self) -> None:
-        rows = [(name, row) for name, row in self.truth.items() if row[1] != "gone"]
-        self.sent, self.begun = self.index, True
-        self._take(rows, True, self.index)
+        rows = [(name, row) for name, row in self.actual.items() if row[1] != "gone"]
+        self.sent, self.snapshot_received = self.index, True
+        self._deliver(rows, True, self.index)
 
     def apply(self, event: str) -> None:
-        self.found, self.premises = [], set()
+        self.breaches_seen, self.premises = [], set()
         kind, _, rest = event.partition(" ")
         with contextlib.redirect_stderr(io.StringIO()):
             if kind in ("drain", "gone", "back", "rename"):
-                self._change(kind, rest)
+                self._change_list(kind, rest)
             elif kind == "tell":
                 rows = [(name, row) for at, name, row in self.log if at == self.sent + 1]
                 self.sent += 1
-                self._take(rows, False, self.sent)
+                self._deliver(rows, False, self.sent)
             elif kind == "snapshot":
-                self.breaks -= self.begun
+                self.breaks -= self.snapshot_received
                 self._snapshot()
-            elif kind == "repeat":  # a change told twice, as after a watch that was resumed one too early
+            elif kind == "repeat":  # a change delivered twice, as by a watch resumed one index too early
                 self.breaks -= 1
                 rows = [(name, row) for at, name, row in self.log if at == self.sent]
-                self._take(rows, False, self.sent)
+                self._deliver(rows, False, self.sent)
             elif kind == "break":
                 self.breaks -= 1
-                self._lost()
-            elif kind == "restart":  # discovery keeps its count, and forgets what changed when
+                self._disconnect()
+            elif kind == "restart":  # discovery keeps its index, but loses its log
                 self.breaks -= 1
                 self.log = []
-                self._lost()
+                self._disconnect()
             elif kind == "tick":
                 before = self.connected
                 self.clock.fire()
                 if self.connected and not before:
-                    self._resumed()
+                    self._resume()
             elif kind == "ask":
-                asked = self.asked[int(rest[1:])]
-                asked.query = Query(0, self.clock.now + PATIENCE, asked, txn=rest, prompt_tokens=100.0)
-                self.by_query[id(asked.query)] = asked
-                asked.handle = self.core.take(asked.query)
+                client = self.clients[int(rest[1:])]
+                client.query = Query(0, self.clock.now + QUERY_TIMEOUT, client, txn=rest, prompt_tokens=100.0)
+                self.by_query[id(client.query)] = client
+                client.handle = self.core.take(client.query)
             else:
-                run = self.asked[int(rest[1:])].live()
-                assert run is not None
-                asked = self.asked[int(rest[1:])]
-                asked.carriers[asked.runs.index(run)].done = True
+                execution = self.clients[int(rest[1:])].live_execution()
+                assert execution is not None
+                client = self.clients[int(rest[1:])]
+                client.carriers[client.executions.index(execution)].done = True
                 if kind == "end":
-                    self.core.received(run, b"%d.1" % run.number)
-                    self.core.ended(run, Served())
+                    self.core.received(execution, b"%d.1" % execution.number)
+                    self.core.ended(execution, Served())
                 else:
-                    self.core.ended(run, Broken(Reach.FULLY_WRITTEN, "reset"))
+                    self.core.ended(execution, Broken(Reach.FULLY_WRITTEN, "reset"))
 
-    def _lost(self) -> None:
+    def _disconnect(self) -> None:
         self.connected = False
         self.premises.add("asks-again")
         self.core.listed(ReplicaList(ListKind.FAILED))
 
-    def _resumed(self) -> None:
-        """Asked from the index held: the changes behind it, or all where that index is not this log's."""
-        held = self.cluster.index
+    def _resume(self) -> None:
+        """Delivers the changes after the client's index, or a snapshot if the log does not reach back so far."""
+        last_index = self.cluster.index
         oldest = self.log[0][0] if self.log else self.index + 1
-        if 0 <= held <= self.index and held + 1 >= oldest:
-            rows = [(name, row) for at, name, row in self.log if at > held]
+        if 0 <= last_index <= self.index and last_index + 1 >= oldest:
+            rows = [(name, row) for at, name, row in self.log if at > last_index]
             self.sent = self.index
-            self._take(rows, False, self.index)
+            self._deliver(rows, False, self.index)
         else:
             self._snapshot()
 
-    def _change(self, kind: str, name: str) -> None:
+    def _change_list(self, kind: str, name: str) -> None:
         self.changes -= 1
         self.index += 1
         if kind == "rename":
-            name, row = "c", (self.truth["a"][0], "ready")
+            name, row = "c", (self.actual["a"][0], "ready")
         else:
-            row = (self.truth[name][0], {"drain": "draining", "gone": "gone", "back": "ready"}[kind])
-        self.truth[name] = row
+            row = (self.actual[name][0], {"drain": "draining", "gone": "gone", "back": "ready"}[kind])
+        self.actual[name] = row
         self.log.append((self.index, name, row))
 
     def state(self) -> object:
@@ -213,20 +225,20 @@
         )
         queries = [
             (
-                asked.query is not None,
-                tuple(asked.said),
+                client.query is not None,
+                tuple(client.final_answers),
                 tuple(
-                    (run.replica, run.ended, one.given_up)
-                    for run, one in zip(asked.runs, asked.carriers, strict=True)
+                    (execution.replica, execution.ended, one.given_up)
+                    for execution, one in zip(client.executions, client.carriers, strict=True)
                 ),
             )
-            for asked in self.asked
+            for client in self.clients
         ]
         replicas = sorted((one.id, one.ready, one.streams, one.consecutive_5xx) for one in router.replicas.values())
         return (
             self.connected,
-            sorted(self.truth.items()),
-            sorted(self.told.items()),
+            sorted(self.actual.items()),
+            sorted(self.announced.items()),
             self.index - self.sent,
             self.changes,
             self.breaks,
@@ -238,53 +250,53 @@
         )
 
     def breaches(self) -> list[str]:
-        out = self.found
-        told = {number_of(name): address for name, (address, _) in self.told.items()}
-        held = {id: f"{where[0]}:{where[1]}" for id, where in self.cluster.addresses.items()}
-        if told != held:
-            out.append(f"as-told: {held} is held, and {told} was told")
-        ready = {number_of(name) for name, (_, status) in self.told.items() if status == "ready"}
+        out = self.breaches_seen
+        announced = {number_of(name): address for name, (address, _) in self.announced.items()}
+        stored = {id: f"{where[0]}:{where[1]}" for id, where in self.cluster.addresses.items()}
+        if announced != stored:
+            out.append(f"as-told: {stored} is stored, but {announced} was announced")
+        ready = {number_of(name) for name, (_, status) in self.announced.items() if status == "ready"}
         router = self.core.router
         taken = {one.id for one in router.replicas.values() if one.ready}
         if ready != taken:
-            out.append(f"ready: {sorted(taken)} are taken for ready, and {sorted(ready)} are")
-        listed = {number_of(name) for name in self.told}
+            out.append(f"ready: {sorted(taken)} are treated as ready, but {sorted(ready)} are")
+        listed = {number_of(name) for name in self.announced}
         idle = {one.id for one in router.replicas.values() if not one.streams and one.id not in listed}
         if idle:
-            out.append(f"freed: {sorted(idle)} have left, and are held with nothing out")
+            out.append(f"freed: {sorted(idle)} have left with nothing in flight, but are still stored")
         return out
 
     def applied(self) -> Iterable[str]:
         out = set(self.premises)
-        if self.told:
+        if self.announced:
             out |= {"as-told", "ready"}
-        if any(len(asked.runs) > 1 for asked in self.asked):
+        if any(len(client.executions) > 1 for client in self.clients):
             out.add("never-two-out")
-        if len(self.told) < 2 and self.told:
+        if len(self.announced) < 2 and self.announced:
             out.add("freed")
         return out
 
     def settle(self) -> list[str]:
-        """Discovery goes on telling, and the watch is resumed; servers say nothing more."""
+        """Discovery delivers all changes and the watch resumes, without further events from servers."""
         for _ in range(TICKS):
-            if self.connected and (self.sent < self.index or not self.begun):
-                self.apply("tell" if self.begun else "snapshot")
+            if self.connected and (self.sent < self.index or not self.snapshot_received):
+                self.apply("tell" if self.snapshot_received else "snapshot")
             elif self.clock.due():
                 self.apply("tick")
             else:
                 break
             if broken := self.breaches():
                 return broken
-        true = {name: row for name, row in self.truth.items() if row[1] != "gone"}
-        if self.told != true:
-            return [f"converges: {self.told} is held in the end, and {true} is true"]
-        open = [asked.number for asked in self.asked if asked.query is not None and not asked.over]
-        return [f"answered: queries {open} never came to an end"] if open else []
+        expected = {name: row for name, row in self.actual.items() if row[1] != "gone"}
+        if self.announced != expected:
+            return [f"converges: {self.announced} is the final list, but {expected} is correct"]
+        open = [client.number for client in self.clients if client.query is not None and not client.over]
+        return [f"answered: queries {open} never ended"] if open else []
 
 
-SHAPES: dict[str, Callable[[], Listing]] = {
-    "changes": partial(Listing, 4, 1, 1),
-    "broken watch": partial(Listing, 2, 3, 1),
+SHAPES: dict[str, Callable[[], ListMachine]] = {
+    "changes": partial(ListMachine, 4, 1, 1),
+    "broken watch": partial(ListMachine, 2, 3, 1),
 }
 MODEL = Model(
     "list",
--- a/pearstall/models/mutants.py
+++ b/pearstall/models/mutants.py
@@ -1,7 +1,7 @@
-"""Plausible mistakes in the real code, made in memory: each must be found, or a property or an event is missing.
+"""Mutation testing: plausible mistakes, applied to the real code in memory, which the models must detect.
 
-A mutant is a piece of a function's source with another in its place. The piece must stand there exactly once, so
-that a mutant whose code has moved on fails instead of changing nothing.
+A mutant replaces a piece of a function's source. The piece must occur exactly once, so that a mutant whose code has
+changed fails instead of changing nothing. An undetected mutant shows that a property or an event is missing.
 """
 
 from __future__ import annotations
@@ -16,12 +16,15 @@
 
 
 class Stale(Exception):
-    """The code that a mutant would change isn't there any more."""
+    """Raised if the code that a mutant replaces no longer exists."""
 
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """`where`: module:Class.method. Depth: events within which its shape must find it."""
+    """A replacement of `old` by `new` in `where` (module:Class.method).
+
+    `depth` is the number of events within which the search of `shape` must find it.
+    """
 
     name: str
     where: str
@@ -32,28 +35,28 @@
     depth: int
 
 
-C, R, S, G, D = (
+CORE, ROUTER, SESSIONS, CLUSTER, DEADLINES = (
     "pearstall.net.core:Core.",
     "pearstall.choice:Router.",
     "pearstall.edge.sessions:",
     "pearstall.net.cluster:Cluster.",
     "pearstall.net.deadlines:",
 )
-L = "pearstall.net.client_link:ClientLink."
+CLIENT_LINK = "pearstall.net.client_link:ClientLink."
 MUTANTS = (
     Mutant(
         "the old link isn't closed before a resend",
-        C + "_give_up",
+        CORE + "_give_up",
         "execution.carrier.give_up()",
         "pass",
         "attempt",
         "one",
         3,
     ),
-    Mutant("the id isn't freed", C + "_release", "self.open_ids.discard(query.txn)", "pass", "attempt", "one", 3),
+    Mutant("the id isn't freed", CORE + "_release", "self.open_ids.discard(query.txn)", "pass", "attempt", "one", 3),
     Mutant(
         "the Router isn't told of a client that left",
-        C + "client_gone",
+        CORE + "client_gone",
         "self.dispatch(ClientGone(handle))",
         "pass",
         "attempt",
@@ -62,7 +65,7 @@
     ),
     Mutant(
         "an end is told after it was forgotten",
-        C + "_end_execution",
+        CORE + "_end_execution",
         "query.in_flight -= 1",
         "query.in_flight -= 0",
         "attempt",
@@ -71,7 +74,7 @@
     ),
     Mutant(
         "a broken answer is finished",
-        C + "ended",
+        CORE + "ended",
         "answer.cut()",
         "answer.finish(); answer.cut()",
         "attempt",
@@ -80,7 +83,7 @@
     ),
     Mutant(
         "a part of an answer passes for none",
-        C + "received",
+        CORE + "received",
         "query.forwarded = True\n            query.body",
         "query.body",
         "attempt",
@@ -89,7 +92,7 @@
     ),
     Mutant(
         "the guard stays armed behind a first event",
-        C + "received",
+        CORE + "received",
         "query.guard.cancel()",
         "pass",
         "attempt",
@@ -98,7 +101,7 @@
     ),
     Mutant(
         "the time-out of a begun stream stays armed",
-        C + "received",
+        CORE + "received",
         "execution.timeout.cancel()\n        self._watch_stream(execution)",
         "pass",
         "attempt",
@@ -107,7 +110,7 @@
     ),
     Mutant(
         "blame doesn't end the query",
-        C + "ended",
+        CORE + "ended",
         "query.finished = True\n            answer.blame(end)",
         "answer.blame(end)",
         "attempt",
@@ -116,7 +119,7 @@
     ),
     Mutant(
         "hurry answers and lets the execution run",
-        C + "hurry",
+        CORE + "hurry",
         "self.dispatch(ClientGone(query.handle))",
         "pass",
         "attempt",
@@ -124,14 +127,26 @@
         3,
     ),
     Mutant(
-        "outcomes don't take their stream off", R + "_on_outcome", "replica.streams -= 1", "pass", "attempt", "one", 3
+        "outcomes don't take their stream off",
+        ROUTER + "_on_outcome",
+        "replica.streams -= 1",
+        "pass",
+        "attempt",
+        "one",
+        3,
     ),
     Mutant(
-        "the Router forgets what it has out", R + "_on_outcome", "self.in_flight -= 1", "pass", "attempt", "one", 3
+        "the Router forgets what it has out",
+        ROUTER + "_on_outcome",
+        "self.in_flight -= 1",
+        "pass",
+        "attempt",
+        "one",
+        3,
     ),
     Mutant(
         "a client that left is not withdrawn",
-        R + "_on_client_gone",
+        ROUTER + "_on_client_gone",
         "self._cancel_in_flight(pending)",
         "pass",
         "attempt",
@@ -140,7 +155,7 @@
     ),
     Mutant(
         "a draining server stays ready",
-        R + "_on_list",
+        ROUTER + "_on_list",
         "replica.ready = entry.state == State.READY",
         "replica.ready = True",
         "attempt",
@@ -149,7 +164,7 @@
     ),
     Mutant(
         "a server that is gone stays",
-        R + "_on_list",
+        ROUTER + "_on_list",
         "if replica is not None:\n                self.replicas.pop(entry.id).ready = False",
         "pass",
         "list",
@@ -158,7 +173,7 @@
     ),
     Mutant(
         "given up, and nothing said",
-        R + "_refuse_or_fail",
+        ROUTER + "_refuse_or_fail",
         "self.actions.append(Refuse(id, self.settings.max_retry_after, why) if refuse else Fail(id, why))",
         "pass",
         "attempt",
@@ -167,7 +182,7 @@
     ),
     Mutant(
         "a snapshot keeps what it doesn't name",
-        G + "take",
+        CLUSTER + "take",
         "self.addresses, self.types, self.names, self.draining = {}, {}, {}, set()",
         "pass",
         "list",
@@ -176,7 +191,7 @@
     ),
     Mutant(
         "an address stays when its server is gone",
-        G + "_replica",
+        CLUSTER + "_replica",
         "self.addresses.pop(id, None)",
         "pass",
         "list",
@@ -185,7 +200,7 @@
     ),
     Mutant(
         "a broken watch isn't asked for again",
-        R + "_on_list",
+        ROUTER + "_on_list",
         "self.subscribed = False",
         "pass",
         "list",
@@ -194,7 +209,7 @@
     ),
     Mutant(
         "the index held is one ahead",
-        G + "take",
+        CLUSTER + "take",
         "self.index = update.index",
         "self.index = update.index + 1",
         "list",
@@ -203,7 +218,7 @@
     ),
     Mutant(
         "epochs go back",
-        S + "Ask.attach",
+        SESSIONS + "Ask.attach",
         "self.session.epoch += 1",
         "self.session.epoch -= 1",
         "session",
@@ -212,7 +227,7 @@
     ),
     Mutant(
         "an acknowledgement beyond the end is taken",
-        S + "Ask.acknowledge",
+        SESSIONS + "Ask.acknowledge",
         "number <= self.latest",
         "number <= self.latest + 1",
         "session",
@@ -221,7 +236,7 @@
     ),
     Mutant(
         "one event too many is let go",
-        S + "Ask._drop_acknowledged",
+        SESSIONS + "Ask._drop_acknowledged",
         "number + 1 - self.first",
         "number + 2 - self.first",
         "session",
@@ -230,7 +245,7 @@
     ),
     Mutant(
         "the superseded reader isn't told",
-        S + "Ask.attach",
+        SESSIONS + "Ask.attach",
         "before.superseded(self)",
         "pass",
         "session",
@@ -239,7 +254,7 @@
     ),
     Mutant(
         "whoever leaves takes the ask along",
-        S + "Ask.detach",
+        SESSIONS + "Ask.detach",
         "if self.owner is reader:",
         "if True:",
         "session",
@@ -248,7 +263,7 @@
     ),
     Mutant(
         "an event is given twice",
-        S + "Ask.after",
+        SESSIONS + "Ask.after",
         "number + 1 - self.first",
         "number - self.first",
         "session",
@@ -257,7 +272,7 @@
     ),
     Mutant(
         "the final record has the last event's number",
-        S + "Ask._end",
+        SESSIONS + "Ask._end",
         "self.first + len(self.events)",
         "max(1, self.first + len(self.events) - 1)",
         "session",
@@ -266,7 +281,7 @@
     ),
     Mutant(
         "the core isn't told of a cancel",
-        S + "Sessions._record_final",
+        SESSIONS + "Sessions._record_final",
         "if cancel_query and query is not None:",
         "if False:",
         "session",
@@ -275,7 +290,7 @@
     ),
     Mutant(
         "unloaded bytes stay on the books",
-        S + "Sessions._drop_events",
+        SESSIONS + "Sessions._drop_events",
         "self.usage.bytes -= ask.log_bytes",
         "pass",
         "session",
@@ -284,7 +299,7 @@
     ),
     Mutant(
         "a forgotten tombstone stays on the books",
-        S + "Sessions.forget",
+        SESSIONS + "Sessions.forget",
         "self.usage.tombstones -= 1",
         "pass",
         "session",
@@ -293,7 +308,7 @@
     ),
     Mutant(
         "the sweep isn't armed again",
-        S + "Sessions.sweep",
+        SESSIONS + "Sessions.sweep",
         "if self.by_name:\n        self._schedule_sweep()",
         "pass",
         "session",
@@ -302,7 +317,7 @@
     ),
     Mutant(
         "a full log doesn't hold its link up",
-        S + "Ask._set_full",
+        SESSIONS + "Ask._set_full",
         "self.sessions.upstream.pause(self.query.handle, full)",
         "pass",
         "session",
@@ -311,7 +326,7 @@
     ),
     Mutant(
         "a cancelled deadline runs all the same",
-        D + "Deadline.cancel",
+        DEADLINES + "Deadline.cancel",
         "self.call = None\n        self.owner",
         "self.owner",
         "attempt",
@@ -320,7 +335,7 @@
     ),
     Mutant(
         "a side that is full already holds no new query up",
-        L + "pass_on",
+        CLIENT_LINK + "pass_on",
         "if self.write_paused:",
         "if False:",
         "client",
@@ -329,7 +344,7 @@
     ),
     Mutant(
         "the core isn't told that a client has gone",
-        L + "connection_lost",
+        CLIENT_LINK + "connection_lost",
         "self.holder.client_gone(self.query.handle)",
         "pass",
         "client",
@@ -338,7 +353,7 @@
     ),
     Mutant(
         "bytes of a whole query stay on the books",
-        L + "_release_body",
+        CLIENT_LINK + "_release_body",
         "self.owner.body_bytes -= self.size",
         "pass",
         "client",
@@ -356,7 +371,7 @@
     ),
     Mutant(
         "a stream's last chunk is forgotten",
-        L + "finish",
+        CLIENT_LINK + "finish",
         'self._write(LAST_CHUNK if self.chunked else b"")',
         "pass",
         "client",
@@ -365,7 +380,7 @@
     ),
     Mutant(
         "a refusal is given twice",
-        L + "refuse",
+        CLIENT_LINK + "refuse",
         "self._reply(self.front.refused(retry_after))",
         "self._reply(self.front.refused(retry_after)); self._reply(self.front.refused(0))",
         "client",
@@ -377,7 +392,7 @@
 
 @contextmanager
 def applied(mutant: Mutant) -> Iterator[None]:
-    """A Stale where its piece of code does not stand exactly once."""
+    """Applies a mutant. Raises Stale unless its piece of code occurs exactly once."""
     module_name, _, path = mutant.where.partition(":")
     module: Any = import_module(module_name)
     class_name, _, method = path.partition(".")
@@ -385,7 +400,7 @@
     before = owner.__dict__[method]
     source = textwrap.dedent(inspect.getsource(before))
     if source.count(mutant.old) != 1:
-        raise Stale(f"{mutant.name}: {mutant.old!r} stands {source.count(mutant.old)} times in {mutant.where}")
+        raise Stale(f"{mutant.name}: {mutant.old!r} occurs {source.count(mutant.old)} times in {mutant.where}")
     namespace: dict[str, Any] = {}
     code = "from __future__ import annotations\n" + source.replace(mutant.old, mutant.new)
     exec(compile(code, mutant.where, "exec"), module.__dict__, namespace)
--- a/pearstall/models/session.py
+++ b/pearstall/models/session.py
@@ -1,8 +1,8 @@
-"""The second machine: a device's session, on the real `Sessions` with its table of states.
+"""Model `session`: a device's session, on the real `Sessions` with its state table.
 
-The core is scripted (it is the first machine's), and so are two connections of one device, which may read the same
-ask one after the other. The device itself is real enough to hold records: what it holds decides what it says it
-has.
+The core is scripted (the model `attempt` covers the real one), and so are two connections of one device, which may
+read the same ask one after the other. The scripted device stores the records that it receives, and reports its
+position accordingly.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from pearstall.edge.records import Final, Problem
 from pearstall.edge.sessions import Ask, Sessions, Tombstone
 from pearstall.edge.states import HELD, RUNNING
-from pearstall.edge.states import State as At
+from pearstall.edge.states import State as AskState
 from pearstall.models.attempt import Clock
-from pearstall.models.explore import Model, Property, run_out
+from pearstall.models.explore import Model, Property, fire_due_timers
 from pearstall.net.core import Query
 from pearstall.net.deadlines import Deadlines
 
@@ -26,33 +26,43 @@
 PROPERTIES = (
     Property("one-final", "one final record", "An ask's final record is made once, and never changes."),
     Property(
-        "order", "events once, in order", "A device is given each record once a connection, in order, without a gap."
+        "order",
+        "events once, in order",
+        "A device receives each record once per connection, in order and without gaps.",
     ),
-    Property("one-reader", "ownership", "An ask has one reader; one that was superseded is given nothing more."),
-    Property("epoch", "ownership", "Epochs never go back, and an ask's is never above its session's."),
+    Property("one-reader", "ownership", "An ask has one reader; a superseded reader receives nothing more."),
+    Property("epoch", "ownership", "Epochs never decrease, and an ask's epoch never exceeds its session's."),
     Property(
-        "nothing-lost", "nothing lost", "What a device has not acknowledged is there until its ask is given up."
+        "nothing-lost",
+        "nothing lost",
+        "Records that a device has not acknowledged are kept until its ask is given up.",
     ),
-    Property("delivered", "one final record", "A reader with room has all records, the final one too, at once."),
     Property(
-        "withdrawn", "the core is told", "The core hears that a client has gone once, and only of an open query."
+        "delivered", "one final record", "A reader that is not slow has all records at once, including the final one."
     ),
-    Property("flow", "backpressure", "A full log holds its server link up, and one with room does not."),
-    Property("books", "bounded and freed", "What the books say is held is what is held."),
-    Property("reachable", "nothing lost", "Whoever comes back finds the ask, its final record, or is told why not."),
-    Property("freed", "bounded and freed", "Left alone, every ask ends, and nothing of the session stays."),
+    Property(
+        "withdrawn",
+        "the core is notified",
+        "The core is notified of a disconnected client once, and only for an open query.",
+    ),
+    Property("flow", "backpressure", "A full log pauses its server connection; any other log does not."),
+    Property("books", "bounded and freed", "The usage counters match what is stored."),
+    Property(
+        "reachable", "nothing lost", "A returning reader finds the ask or its final record, or is told why not."
+    ),
+    Property("freed", "bounded and freed", "Without further events, every ask ends and the session is removed."),
 )
 
 
 class Core:
-    """In place of the core: it gives final answers when the model says so."""
+    """A scripted core, which gives final answers as events of the model."""
 
     def __init__(self) -> None:
         self.open: dict[int, Query] = {}
         self.paused: dict[int, bool] = {}
         self.gone: list[int] = []
         self.count = 0
-        self.odd: list[str] = []
+        self.breaches_seen: list[str] = []
 
     def take(self, query: Query) -> int:
         self.count += 1
@@ -63,7 +73,7 @@
 
     def client_gone(self, handle: int) -> None:
         if handle not in self.open:
-            self.odd.append(f"withdrawn: query {handle} was not open")
+            self.breaches_seen.append(f"withdrawn: query {handle} was not open")
         self.gone.append(handle)
         self.open.pop(handle, None)
 
@@ -73,9 +83,9 @@
 
 
 class Connection:
-    """A reader of one ask: takes all there is, unless it is slow."""
+    """A reader of one ask; takes all available records unless it is slow."""
 
-    def __init__(self, machine: Sessions_, name: str, id: str) -> None:
+    def __init__(self, machine: SessionMachine, name: str, id: str) -> None:
         self.machine, self.name, self.id = machine, name, id
         self.at: int | None = None
         self.lost = False
@@ -87,7 +97,9 @@
 
     def ready(self, ask: Ask) -> None:
         if self.lost:
-            self.machine.found.append(f"one-reader: {self.name} of {self.id} is given more though it was superseded")
+            self.machine.breaches_seen.append(
+                f"one-reader: {self.name} of {self.id} receives records after it was superseded"
+            )
             return
         if self.at is None or self.slow:
             return
@@ -95,62 +107,69 @@
             for event in events:
                 number = int(event[6:-2])
                 if number != self.at + 1:
-                    self.machine.found.append(f"order: {self.name} holds {self.at} and is given {number}")
+                    self.machine.breaches_seen.append(f"order: {self.name} is at {self.at} and receives {number}")
                     return
                 self.at = number
-                self.machine.hold(self.id, number)
+                self.machine.receive_event(self.id, number)
         if ask.final is not None and self.at == ask.final.number - 1:
             self.at = ask.final.number
-            self.machine.hold_final(self.id, ask.final)
+            self.machine.receive_final(self.id, ask.final)
 
     def superseded(self, ask: Ask) -> None:
         self.lost = True
 
 
-class Sessions_:
-    """`asks`: how many; `events`: of each, at most; `evicts`: times that room runs short."""
+class SessionMachine:
+    """The machine of this model.
+
+    `asks` is a count, `events` the maximum number of events of each ask, `evicts` how often memory may run short.
+    """
 
     def __init__(self, asks: int = 1, events: int = 3, evicts: int = 1, slow: bool = False) -> None:
         self.clock, self.core = Clock(), Core()
-        self.notes: list[tuple[str, dict[str, Any]]] = []
+        self.log_events: list[tuple[str, dict[str, Any]]] = []
         self.sessions = Sessions(
-            self.core, Deadlines(self.clock), BOUNDS, lambda name, **more: self.notes.append((name, more))
+            self.core, Deadlines(self.clock), BOUNDS, lambda name, **more: self.log_events.append((name, more))
         )
         self.ids = [f"a{number}" for number in range(asks)]
-        self.most_events, self.evicts, self.slow = events, evicts, slow
-        self.squeezed = False  # room was wanted: what is acknowledged or waits may have gone
-        self.found: list[str] = []
+        self.max_events, self.evicts, self.slow = events, evicts, slow
+        self.memory_ran_short = False  # acknowledged or waiting asks may have been evicted
+        self.breaches_seen: list[str] = []
         self.premises: set[str] = set()
         self.readers: dict[tuple[str, str], Connection] = {}
-        self.holds: dict[str, int] = {}  # the highest event that the device holds
-        self.final: dict[str, Final] = {}  # that the device holds
-        self.stands: dict[str, Final] = {}  # that the edge has made
-        self.since: dict[str, float] = {}  # when it made it
+        self.highest_received: dict[str, int] = {}  # ask -> number of the last event that the device has
+        self.final: dict[str, Final] = {}  # ask -> final record that the device has
+        self.finals_made: dict[str, Final] = {}  # ask -> final record that the edge created
+        self.since: dict[str, float] = {}  # ask -> when its final record was created
         self.made: dict[str, int] = {}
         self.asked: set[str] = set()
         self.epoch = 0
 
-    # -- the device ----------------------------------------------------------------------------------------
+    # -- device --------------------------------------------------------------------------------------------
 
-    def hold(self, id: str, number: int) -> None:
+    def receive_event(self, id: str, number: int) -> None:
         self.premises.add("order")
-        if number > self.holds.get(id, 0) + 1:
-            self.found.append(f"order: the device holds {self.holds.get(id, 0)} of {id} and is given {number}")
-        self.holds[id] = max(self.holds.get(id, 0), number)
+        if number > self.highest_received.get(id, 0) + 1:
+            self.breaches_seen.append(
+                f"order: the device has {self.highest_received.get(id, 0)} of {id} and receives {number}"
+            )
+        self.highest_received[id] = max(self.highest_received.get(id, 0), number)
 
-    def hold_final(self, id: str, final: Final) -> None:
+    def receive_final(self, id: str, final: Final) -> None:
         self.premises |= {"one-final", "nothing-lost"}
         before = self.final.setdefault(id, final)
         if before != final:
-            self.found.append(f"one-final: {id} was told {before}, and then {final}")
-        if final.kind == "served" and self.holds.get(id, 0) != final.number - 1:
-            self.found.append(f"nothing-lost: {id} ends with {final.number} and {self.holds.get(id, 0)} are held")
+            self.breaches_seen.append(f"one-final: {id} received {before}, and then {final}")
+        if final.kind == "served" and self.highest_received.get(id, 0) != final.number - 1:
+            self.breaches_seen.append(
+                f"nothing-lost: {id} ends with {final.number}, but the device has {self.highest_received.get(id, 0)}"
+            )
 
     def _ask(self, id: str) -> Ask | Tombstone | None:
         session = self.sessions.find("d", "t")
         return session.find(id) if session is not None else None
 
-    # -- the machine ---------------------------------------------------------------------------------------
+    # -- machine -------------------------------------------------------------------------------------------
 
     def events(self) -> list[str]:
         out = []
@@ -162,7 +181,7 @@
             found = self._ask(id)
             if isinstance(found, Ask):
                 if found.query is not None and found.query.handle in self.core.open:
-                    if self.made.get(id, 0) < self.most_events and not self.core.paused[found.query.handle]:
+                    if self.made.get(id, 0) < self.max_events and not self.core.paused[found.query.handle]:
                         out.append(f"event {id}")
                     out += [f"finish {id}", f"fail {id}"]
                     if self.made.get(id, 0):
@@ -171,7 +190,7 @@
             for name in ("A", "B"):
                 reader = self.readers.get((id, name))
                 if reader is not None and reader.lost:
-                    out.append(f"detach {id} {name}")  # late: another connection has the ask
+                    out.append(f"detach {id} {name}")  # late: another connection owns the ask
                 if reader is None or reader.lost:
                     out += [f"attach {id} {name}", f"attach-anew {id} {name}"]
                 else:
@@ -185,14 +204,14 @@
         return out
 
     def apply(self, event: str) -> None:
-        self.found, self.premises = [], set()
-        self.core.odd = []
+        self.breaches_seen, self.premises = [], set()
+        self.core.breaches_seen = []
         kind, _, rest = event.partition(" ")
         if kind == "tick":
             self.clock.fire()
         elif kind == "squeeze":
             self.evicts -= 1
-            self.squeezed = True
+            self.memory_ran_short = True
             self.sessions.bounds = Bounds(
                 **{name: getattr(BOUNDS, name) for name in BOUNDS.__struct_fields__}
                 | {"all_bytes": 0, "tombstones": 0}
@@ -200,30 +219,32 @@
             self.sessions.enforce_bounds()
             self.sessions.bounds = BOUNDS
         elif kind in ("attach", "attach-anew", "detach", "slow", "fast"):
-            self._of_reader(kind, *rest.split(" "))
+            self._apply_to_reader(kind, *rest.split(" "))
         else:
-            self._of_ask(kind, rest)
-        self._remember()
+            self._apply_to_ask(kind, rest)
+        self._check_unchanged()
+
+    def _check_unchanged(self) -> None:
+        """Compares final records and epochs with their earlier values.
 
-    def _remember(self) -> None:
-        """What must never change is compared with what it was. Here and not in `breaches`: a state that is restored
-        by replay has only had its events applied."""
+        This is not part of `breaches`, which is not called while a state is restored by replay.
+        """
         session = self.sessions.find("d", "t")
         for id in self.ids:
             found = self._ask(id)
             stands = found.final if found is not None else None
             if stands is None:
                 continue
-            before = self.stands.setdefault(id, stands)
+            before = self.finals_made.setdefault(id, stands)
             self.since.setdefault(id, self.clock.now)
             if (before.number, before.kind, before.reason) != (stands.number, stands.kind, stands.reason):
-                self.found.append(f"one-final: {id} had {before}, and now has {stands}")
+                self.breaches_seen.append(f"one-final: {id} had {before}, and now has {stands}")
         if session is not None:
             if session.epoch < self.epoch:
-                self.found.append(f"epoch: from {self.epoch} back to {session.epoch}")
+                self.breaches_seen.append(f"epoch: decreased from {self.epoch} to {session.epoch}")
             self.epoch = session.epoch
 
-    def _of_reader(self, kind: str, id: str, name: str) -> None:
+    def _apply_to_reader(self, kind: str, id: str, name: str) -> None:
         found = self._ask(id)
         if kind == "detach":
             reader = self.readers.pop((id, name))
@@ -238,27 +259,33 @@
             return
         if not isinstance(found, Ask):
             self.premises.add("reachable")
-            if found is None and id not in self.final and not self._let_go(id):
-                self.found.append(f"reachable: nothing is known of {id}, whose final record was never fetched")
+            if found is None and id not in self.final and not self._may_be_forgotten(id):
+                self.breaches_seen.append(f"reachable: {id} is unknown, though its final record was never fetched")
             return
         reader = Connection(self, name, id)
-        last = 0 if kind == "attach-anew" else self.final[id].number if id in self.final else self.holds.get(id, 0)
-        told = found.attach(reader, last)
-        if told is None:
+        last = (
+            0
+            if kind == "attach-anew"
+            else self.final[id].number
+            if id in self.final
+            else self.highest_received.get(id, 0)
+        )
+        problem = found.attach(reader, last)
+        if problem is None:
             self.premises |= {"one-reader", "epoch", "reachable"}
             self.readers[id, name] = reader
-        elif isinstance(told, Problem):
+        elif isinstance(problem, Problem):
             self.readers.pop((id, name), None)
-            if kind == "attach" and told.code == "bad_position":
-                self.found.append(f"nothing-lost: {id} is refused its own place, {last}")
-            if kind == "attach" and told.code == "events_gone" and not self.squeezed:
-                self.found.append(f"nothing-lost: {id} holds {last}, and what follows is gone")
+            if kind == "attach" and problem.code == "bad_position":
+                self.breaches_seen.append(f"nothing-lost: {id} is refused its own position, {last}")
+            if kind == "attach" and problem.code == "events_gone" and not self.memory_ran_short:
+                self.breaches_seen.append(f"nothing-lost: {id} has {last}, but the following records are gone")
 
-    def _let_go(self, id: str) -> bool:
-        """Its record may be forgotten: nobody fetched it for longer than it is kept, or room was wanted."""
-        return self.squeezed or self.clock.now - self.since.get(id, self.clock.now) >= BOUNDS.remember
+    def _may_be_forgotten(self, id: str) -> bool:
+        """Tells whether its record may have been removed, because it expired unfetched or memory ran short."""
+        return self.memory_ran_short or self.clock.now - self.since.get(id, self.clock.now) >= BOUNDS.remember
 
-    def _of_ask(self, kind: str, id: str) -> None:
+    def _apply_to_ask(self, kind: str, id: str) -> None:
         if kind == "ask":
             self.asked.add(id)
             session = self.sessions.open("d", "t")
@@ -275,18 +302,22 @@
             del self.core.open[found.query.handle]
             {"finish": found.finish, "fail": lambda: found.fail(False), "cut": found.cut}[kind]()
         elif kind == "ack":
-            told = found.acknowledge(self.final[id].number if id in self.final else self.holds.get(id, 0))
-            if told is not None:
-                self.found.append(f"nothing-lost: {id} may not acknowledge what it holds: {told.detail}")
+            problem = found.acknowledge(
+                self.final[id].number if id in self.final else self.highest_received.get(id, 0)
+            )
+            if problem is not None:
+                self.breaches_seen.append(
+                    f"nothing-lost: {id} may not acknowledge what it received: {problem.detail}"
+                )
         elif kind == "ack-beyond":
             if found.acknowledge(found.latest + 1) is None:
-                self.found.append(f"nothing-lost: {id} acknowledged a record that was never sent")
+                self.breaches_seen.append(f"nothing-lost: {id} acknowledged a record that was never sent")
         elif kind == "cancel":
             before = found.final
             final = found.cancel()
             self.premises.add("one-final")
             if before is not None and final != before:
-                self.found.append(f"one-final: a cancel changed {before} into {final}")
+                self.breaches_seen.append(f"one-final: a cancel changed {before} into {final}")
 
     def state(self) -> object:
         now = self.clock.now
@@ -309,7 +340,9 @@
                 )
             elif found is not None:
                 mine = found.final
-            asks.append((id in self.asked, mine, self.holds.get(id, 0), id in self.final, self.made.get(id, 0)))
+            asks.append(
+                (id in self.asked, mine, self.highest_received.get(id, 0), id in self.final, self.made.get(id, 0))
+            )
         readers = sorted((id, name, one.at, one.lost, one.slow) for (id, name), one in self.readers.items())
         timers = sorted(
             (round((when - now) * 1e3), getattr(deadline.call, "__qualname__", ""))
@@ -327,17 +360,17 @@
         )
 
     def breaches(self) -> list[str]:
-        out = self.found + self.core.odd
-        finals = [row["ask"] for name, row in self.notes if name == "final"]
+        out = self.breaches_seen + self.core.breaches_seen
+        finals = [row["ask"] for name, row in self.log_events if name == "final"]
         for id in self.ids:
             if finals.count(id) > 1:
                 out.append(f"one-final: the final record of {id} was made {finals.count(id)} times")
             found = self._ask(id)
             if isinstance(found, Ask):
-                out += self._of(id, found)
-        return out + self._books()
+                out += self._check_ask(id, found)
+        return out + self._check_usage()
 
-    def _of(self, id: str, ask: Ask) -> list[str]:
+    def _check_ask(self, id: str, ask: Ask) -> list[str]:
         out = []
         if (ask.state in HELD) != (ask.owner is not None):
             out.append(f"one-reader: {id} is {ask.state.name} and its reader is {ask.owner}")
@@ -349,39 +382,41 @@
         if isinstance(ask.owner, Connection) and not ask.owner.slow:
             self.premises.add("delivered")
             if ask.owner.at != ask.latest:
-                out.append(f"delivered: {ask.owner.name} has {ask.owner.at} of {id}, and {ask.latest} is there")
+                out.append(f"delivered: {ask.owner.name} has {ask.owner.at} of {id}, but {ask.latest} is available")
             if ask.final is not None and id not in self.final:
-                out.append(f"delivered: {id} has ended, and {ask.owner.name} was not given its final record")
+                out.append(f"delivered: {id} has ended, but {ask.owner.name} did not receive its final record")
         if ask.epoch > ask.session.epoch:
-            out.append(f"epoch: {id} has {ask.epoch}, its session {ask.session.epoch}")
+            out.append(f"epoch: {id} has {ask.epoch}, but its session has {ask.session.epoch}")
         if ask.query is not None and ask.query.handle in self.core.open:
             if self.core.paused[ask.query.handle] != ask.full:
-                out.append(f"flow: the log of {id} is {'full' if ask.full else 'open'}, its link is not so")
+                out.append(f"flow: the log of {id} is {'full' if ask.full else 'open'}, but its connection is not")
             if ask.full != (len(ask.events) > BOUNDS.ask_events) and not ask.full:
-                out.append(f"flow: {len(ask.events)} events of {id} are held, and its link goes on")
+                out.append(f"flow: {len(ask.events)} events of {id} are stored, but its connection is not paused")
             self.premises.add("flow")
         if (ask.query is not None) != (ask.state in RUNNING):
             out.append(f"withdrawn: {id} is {ask.state.name} and its query is {ask.query is not None}")
-        if not self.squeezed and ask.first - 1 > self.holds.get(id, 0):
-            out.append(f"nothing-lost: {id} has let {ask.first - 1} go, and its device holds {self.holds.get(id, 0)}")
+        if not self.memory_ran_short and ask.first - 1 > self.highest_received.get(id, 0):
+            out.append(
+                f"nothing-lost: {id} dropped {ask.first - 1} events, device has {self.highest_received.get(id, 0)}"
+            )
         return out
 
-    def _books(self) -> list[str]:
+    def _check_usage(self) -> list[str]:
         sessions, out = self.sessions, []
         asks = [ask for one in sessions for ask in (one.asks or {}).values()]
-        held = sessions.usage
-        for what, said, true in (
-            ("bytes", held.bytes, sum(len(event) for ask in asks for event in ask.events)),
+        usage = sessions.usage
+        for name, counted, actual in (
+            ("bytes", usage.bytes, sum(len(event) for ask in asks for event in ask.events)),
             ("running", sessions.running, sum(ask.state in RUNNING for ask in asks)),
-            ("running away", held.running_away, sum(ask.state == At.RUNNING_AWAY for ask in asks)),
-            ("ended away", held.ended_away, sum(ask.state == At.ENDED_AWAY for ask in asks)),
-            ("tombstones", held.tombstones, sum(len(one.tombstones or ()) for one in sessions)),
-            ("pools", len(sessions.running_away) + len(sessions.ended_away), held.running_away + held.ended_away),
-            ("graves", len(sessions.tombstones_by_age), held.tombstones),
+            ("running away", usage.running_away, sum(ask.state == AskState.RUNNING_AWAY for ask in asks)),
+            ("ended away", usage.ended_away, sum(ask.state == AskState.ENDED_AWAY for ask in asks)),
+            ("tombstones", usage.tombstones, sum(len(one.tombstones or ()) for one in sessions)),
+            ("pools", len(sessions.running_away) + len(sessions.ended_away), usage.running_away + usage.ended_away),
+            ("tombstones by age", len(sessions.tombstones_by_age), usage.tombstones),
             ("open queries", len(self.core.open), sessions.running),
         ):
-            if said != true:
-                out.append(f"books: {said} {what} are counted, and there are {true}")
+            if counted != actual:
+                out.append(f"books: {counted} {name} are counted, but there are {actual}")
         return out
 
     def applied(self) -> Iterable[str]:
@@ -393,28 +428,28 @@
         return out
 
     def settle(self) -> list[str]:
-        """Everyone goes away, and time passes."""
+        """All readers disconnect, and time passes."""
         for (id, name), reader in list(self.readers.items()):
             if not reader.lost:
                 self.apply(f"detach {id} {name}")
                 if broken := self.breaches():
                     return broken
-        if broken := run_out(self, self.clock.due):
+        if broken := fire_due_timers(self, self.clock.due):
             return broken
-        held = {
+        remaining = {
             "sessions": len(self.sessions.by_name),
             "queries": len(self.core.open),
             "timers": len(self.sessions.deadlines),
-            "graves": len(self.sessions.tombstones_by_age),
+            "tombstones": len(self.sessions.tombstones_by_age),
         }
-        left = {name: count for name, count in held.items() if count}
+        left = {name: count for name, count in remaining.items() if count}
         return [f"freed: {left}"] if left else []
 
 
-SHAPES: dict[str, Callable[[], Sessions_]] = {
-    "one ask": partial(Sessions_, 1, 3, 1),
-    "two asks": partial(Sessions_, 2, 1, 1),
-    "slow readers": partial(Sessions_, 1, 4, 0, True),
+SHAPES: dict[str, Callable[[], SessionMachine]] = {
+    "one ask": partial(SessionMachine, 1, 3, 1),
+    "two asks": partial(SessionMachine, 2, 1, 1),
+    "slow readers": partial(SessionMachine, 1, 4, 0, True),
 }
 MODEL = Model(
     "session",
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -1,4 +1,4 @@
-"""The models: searches in small, the mistakes that they must find, and that the reduction leaves nothing out."""
+"""Tests the models: small searches, the mutants that they must detect, and the soundness of the reduction."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 from pearstall.cli.main import commands
 from pearstall.models import catalogue
-from pearstall.models.attempt import Attempts
-from pearstall.models.explore import Found, breaks, digest, replayed, search, settled, shrunk, step
-from pearstall.models.listing import Listing
+from pearstall.models.attempt import AttemptMachine
+from pearstall.models.explore import SearchResult, digest, first_breach, replayed, search, settled, shrunk, step
+from pearstall.models.listing import ListMachine
 from pearstall.models.mutants import MUTANTS, Mutant, Stale, applied
-from pearstall.models.session import Sessions_
+from pearstall.models.session import SessionMachine
 from tests.net_support import cut_settings
 
 HERE = Path(__file__).parent
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("name", list(catalogue.MODULES))
 def test_every_order_of_a_few_events_keeps_every_property(name: str) -> None:
-    """In small; `pearstall model check` goes as deep as its page says."""
+    """Runs small searches; `pearstall model check` searches deeper."""
     chosen = catalogue.model(name)
     found = [search(chosen, shape, DEPTHS[name, shape], reduce=True) for shape in chosen.shapes]
     assert not [(row.breach.what, row.breach.sequence) for row in found if row.breach is not None]
@@ -48,7 +48,7 @@
         assert breach is not None, f"{mutant.name}: not found within {mutant.depth} events"
         smaller = shrunk(chosen.shapes[mutant.shape], breach)
         assert smaller.property == breach.property and len(smaller.sequence) <= len(breach.sequence)
-    assert breaks(chosen.shapes[mutant.shape], smaller.sequence) is None  # and the code as it is, is well
+    assert first_breach(chosen.shapes[mutant.shape], smaller.sequence) is None  # the unchanged code passes
 
 
 def test_a_mutant_whose_code_has_moved_on_says_so() -> None:
@@ -91,18 +91,18 @@
 @pytest.mark.parametrize("file", sorted(HERE.glob("sequences/*.json")), ids=lambda file: file.stem)
 def test_kept_sequences_break_nothing(file: Path) -> None:
     kept = catalogue.read_kept(file)
-    assert breaks(catalogue.machine(kept), kept.sequence) is None, kept.guards
+    assert first_breach(catalogue.machine(kept), kept.sequence) is None, kept.guards
     machine = catalogue.machine(kept)()
     for name in kept.sequence:
-        assert name in machine.events(), f"{name} can't happen there any more"
+        assert name in machine.events(), f"{name} is not enabled there any more"
         machine.apply(name)
 
 
 @cut_settings
 @given(st.integers(0, 2), st.lists(st.integers(0, 10**6), max_size=60))
 def test_longer_walks_through_larger_worlds_keep_every_property(which: int, draws: list[int]) -> None:
-    """Beyond what can be searched: more queries, servers and asks, and sixty events."""
-    machine: Any = (Attempts(4, 4, 0.6, 4, True, 3), Sessions_(3, 6, 2, True), Listing(8, 4, 3))[which]
+    """Covers sizes that are too large for a search: more queries, servers and asks, and sixty events."""
+    machine: Any = (AttemptMachine(4, 4, 0.6, 4, True, 3), SessionMachine(3, 6, 2, True), ListMachine(8, 4, 3))[which]
     for draw in draws:
         events = machine.events()
         if not events:
@@ -131,5 +131,5 @@
     assert call("replay", file).exit_code == 0
     file.write_text('{"model": "odd", "shape": "x", "sequence": []}')
     assert "no model or shape" in call("replay", file).output
-    # A property whose premise never held is a failure of its own.
-    assert catalogue.untested("list", [Found("list", "changes")])
+    # A property whose premise never held counts as a failure.
+    assert catalogue.untested("list", [SearchResult("list", "changes")])
