--- a/pearstall/cli/keys.py
+++ b/pearstall/cli/keys.py
@@ -83,7 +83,7 @@
         raise click.ClickException(f"{file} already exists; use `keys rotate` to add a key to it")
     _replace_file(
         file,
-        "// Keys of the edge: anyone who can read this file can impersonate any device.\n" + _key_line(id_, tenant),
+        "// Keys of the edge: who reads this file can speak as any device.\n" + _key_line(id_, tenant),
     )
     click.echo(f"{file}: key {id_}")
 
