--- a/pearstall/lab/scenarios.py
+++ b/pearstall/lab/scenarios.py
@@ -123,25 +123,25 @@
 
 def read_plan(path: str) -> Plan:
     """Reads a plan; DocumentError lists every error with its position."""
-    troubles: list[Diagnostic] = []
-    nodes = validate(SHAPES, read(Path(path)), path, troubles)
+    diagnostics: list[Diagnostic] = []
+    nodes = validate(SHAPES, read(Path(path)), path, diagnostics)
     if "load" not in nodes:
-        troubles.append(Diagnostic(path, Place(1, 1), 'load is missing: it requires a rate such as "60/s"'))
+        diagnostics.append(Diagnostic(path, Place(1, 1), 'load is missing: it requires a rate such as "60/s"'))
     base = Scenario(name=Path(path).stem)
-    if not troubles:
-        _apply_scenario(base, nodes, path, troubles)
+    if not diagnostics:
+        _apply_scenario(base, nodes, path, diagnostics)
     plan = Plan(path, [Variant("base", base)])
     for one in nodes.get("variant", []):
-        if troubles or not one.args:
+        if diagnostics or not one.args:
             break
         if any(one.args[0] == other.name for other in plan.variants):
-            troubles.append(Diagnostic(path, one.node.place, f"duplicate variant {one.args[0]!r}"))
+            diagnostics.append(Diagnostic(path, one.node.place, f"duplicate variant {one.args[0]!r}"))
             continue
         changed = msgspec.structs.replace(base, settings=dict(base.settings), constants=dict(base.constants))
-        _apply_changes(changed, one.children, path, troubles)
+        _apply_changes(changed, one.children, path, diagnostics)
         plan.variants.append(Variant(one.args[0], changed))
-    if troubles:
-        raise DocumentError(sorted(troubles, key=lambda one: (one.place.line, one.place.column)))
+    if diagnostics:
+        raise DocumentError(sorted(diagnostics, key=lambda one: (one.place.line, one.place.column)))
     return plan
 
 
@@ -149,7 +149,9 @@
     return {key.replace("-", "_"): value for key, value in props.items()}
 
 
-def _apply_scenario(out: Scenario, nodes: dict[str, list[NodeValues]], path: str, troubles: list[Diagnostic]) -> None:
+def _apply_scenario(
+    out: Scenario, nodes: dict[str, list[NodeValues]], path: str, diagnostics: list[Diagnostic]
+) -> None:
     for one in nodes.get("scenario", []):
         out.name = one.args[0] if one.args else out.name
         out.seconds = one.props.get("seconds", out.seconds)
@@ -170,10 +172,12 @@
         wires = one.child("wires")
         wire_options: dict[str, Any] = {"wires": tuple(wires.args)} if wires is not None and wires.args else {}
         out.devices = [*out.devices, Devices(name=one.args[0], **_underscored(one.props), **wire_options)]
-    _apply_changes(out, nodes, path, troubles)
+    _apply_changes(out, nodes, path, diagnostics)
 
 
-def _apply_changes(out: Scenario, nodes: dict[str, list[NodeValues]], path: str, troubles: list[Diagnostic]) -> None:
+def _apply_changes(
+    out: Scenario, nodes: dict[str, list[NodeValues]], path: str, diagnostics: list[Diagnostic]
+) -> None:
     from pearstall import choice
 
     for one in nodes.get("load", []):
@@ -181,7 +185,7 @@
             out.rate = parse_rate(one.args[0], Path(path).parent)
             out.most_rate = max(0.001, peak_rate(out.rate, out.seconds))
         except BadRate as error:
-            troubles.append(Diagnostic(path, one.node.place, f"load: {error}"))
+            diagnostics.append(Diagnostic(path, one.node.place, f"load: {error}"))
     for one in nodes.get("engine", []):
         out.engine = msgspec.structs.replace(out.engine, **_underscored(one.props))
     for one in nodes.get("edge", []):
@@ -191,12 +195,12 @@
     for one in nodes.get("constant", []):
         name, value = one.args
         if not isinstance(vars(choice).get(name), int | float) or isinstance(vars(choice).get(name), bool):
-            troubles.append(Diagnostic(path, one.node.place, f"choice.py has no constant {name}"))
+            diagnostics.append(Diagnostic(path, one.node.place, f"choice.py has no constant {name}"))
         out.constants[name] = value
     for one in nodes.get("setting", []):
         name, value = one.args
         if name not in SETTABLE:
-            troubles.append(
+            diagnostics.append(
                 Diagnostic(path, one.node.place, f"unknown setting {name}; known settings: {', '.join(SETTABLE)}")
             )
         out.settings[name] = value
