--- a/pearstall/lab/devices.py
+++ b/pearstall/lab/devices.py
@@ -114,7 +114,7 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.books = DeviceStats()
+        self.stats = DeviceStats()
         answer_latency = 0.005 + 2 * max(world.scenario.latency, world.scenario.cross_latency) + world.scenario.jitter
         self.ledger = Ledger(ExecutionLog(world.network.peer_closed), world.loop.time, answer_latency)
         self.open = 0
@@ -174,7 +174,7 @@
         token = mint(Key("lab", SECRET, "t0"), self.name, int(world.loop.wall()) + 10**8)
         client = DeviceClient(f"http://{self.router.host}:{EDGE_PORT}", token, world.loop.time, timeout=8.0)
         behaviour = PhoneBehaviour(klass.leaves, klass.stays, klass.cancels, 0.1, 0.1, 2.0, klass.wires)
-        self.phone = Phone(client, self.random, behaviour, load.books, self.move, RETRYABLE)
+        self.phone = Phone(client, self.random, behaviour, load.stats, self.move, RETRYABLE)
 
     def _enter_new_cell(self) -> None:
         self.load.cells += 1
@@ -185,7 +185,7 @@
         """Moves to another cell. The old connection hangs without any notification."""
         world, old = self.world, self.cell
         world.network.unreachable.add(old)
-        self.load.books.moves += 1
+        self.load.stats.moves += 1
         self._enter_new_cell()
         set_current_host(self.cell)
 
@@ -196,7 +196,7 @@
         world.loop.call_later(STALE_CELL_TIMEOUT, forget)
 
     async def ask(self) -> None:
-        world, klass, stats, random = self.world, self.klass, self.load.books, self.random
+        world, klass, stats, random = self.world, self.klass, self.load.stats, self.random
         set_current_host(self.cell)
         request_class = random.choice(world.scenario.classes)
         began, starts = world.loop.now, self.router.starts
@@ -208,7 +208,7 @@
         while True:
             self.asks += 1
             ask = DeviceAsk(f"a{self.asks}", body, request_class.name, request_class.give_up)
-            self.load.ledger.asked(self.name, ask)
+            self.load.ledger.record_ask(self.name, ask)
             if klass.sleeps and random.random() < klass.sleeps:
                 await self._ask_and_sleep(ask)
             async with asyncio.timeout_at(limit):
--- a/pearstall/lab/ledger.py
+++ b/pearstall/lab/ledger.py
@@ -33,24 +33,24 @@
 @dataclass(slots=True)
 class Entry:
     device: str
-    held: DeviceAsk
+    device_ask: DeviceAsk
     edge_finals: list[dict[str, Any]] = field(default_factory=list)  # the edge's `final` notes
     executions: list[Execution] = field(default_factory=list)
     final_at: float = math.inf  # when the edge made its final record, on the ledger's clock
 
 
 class Ledger:
-    """`clock`: the clock of `books`. `flight`: longest transit of an answer in seconds; an answer completed less than
-    that before the edge's final record may not have reached the edge."""
+    """`clock`: the clock of `execution_log`. `flight`: longest transit of an answer in seconds; an answer completed
+    less than that before the edge's final record may not have reached the edge."""
 
     def __init__(
-        self, books: ExecutionLog, clock: Callable[[], float] = lambda: math.inf, flight: float = 0.0
+        self, execution_log: ExecutionLog, clock: Callable[[], float] = lambda: math.inf, flight: float = 0.0
     ) -> None:
-        self.books, self.clock, self.flight = books, clock, flight
+        self.execution_log, self.clock, self.flight = execution_log, clock, flight
         self.entries: dict[tuple[str, str], Entry] = {}
         self.events: Counter[str] = Counter()
 
-    def asked(self, device: str, ask: DeviceAsk) -> None:
+    def record_ask(self, device: str, ask: DeviceAsk) -> None:
         self.entries[device, ask.id] = Entry(device, ask)
 
     def note(self, event: str, **fields: Any) -> None:
@@ -65,19 +65,21 @@
     def check(self) -> list[Breach]:
         breaches: list[Breach] = []
         for (device, id), entry in self.entries.items():
-            entry.executions = self.books.by_txn.get(f"{device}.{id}", [])
+            entry.executions = self.execution_log.by_txn.get(f"{device}.{id}", [])
             breaches += [Breach(device, id, rule, what) for rule, what in _breaches(entry)]
-        for txn in self.books.overlapping:
+        for txn in self.execution_log.overlapping:
             device, _, id = txn.partition(".")
             breaches.append(Breach(device, id, "two out", "an execution began while another was running"))
         return breaches
 
     def kinds(self) -> Counter[str]:
-        return Counter(str(entry.held.final.kind) if entry.held.final else "none" for entry in self.entries.values())
+        return Counter(
+            str(entry.device_ask.final.kind) if entry.device_ask.final else "none" for entry in self.entries.values()
+        )
 
 
 def _breaches(entry: Entry) -> list[tuple[str, str]]:
-    ask, breaches = entry.held, [("order", breach) for breach in entry.held.breaches]
+    ask, breaches = entry.device_ask, [("order", breach) for breach in entry.device_ask.breaches]
     if len(entry.edge_finals) != 1:
         breaches.append(("one final record", f"the edge made {len(entry.edge_finals)}"))
     if ask.final is None:
--- a/pearstall/lab/poor_links.py
+++ b/pearstall/lab/poor_links.py
@@ -75,7 +75,7 @@
         content = f"{self.name} {id} " + "x" * random.randint(0, 200)
         body = {"model": "toy", "messages": [{"role": "user", "content": content}]}
         ask = DeviceAsk(id, body, random.choice(("", "", "agent")), 5.0)
-        self.ledger.asked(self.name, ask)
+        self.ledger.record_ask(self.name, ask)
         began = time.monotonic()
         async with asyncio.timeout(timeout):
             error = await self.fetch(ask)
@@ -128,8 +128,10 @@
         report.superseded = ledger.events["superseded"]
         report.kinds = dict(ledger.kinds())
         report.executions = sum(len(entry.executions) for entry in ledger.entries.values())
-        report.events = sum(len(entry.held.events) for entry in ledger.entries.values())
-        report.repeated = sum(entry.held.finals - 1 for entry in ledger.entries.values() if entry.held.finals)
+        report.events = sum(len(entry.device_ask.events) for entry in ledger.entries.values())
+        report.repeated = sum(
+            entry.device_ask.finals - 1 for entry in ledger.entries.values() if entry.device_ask.finals
+        )
         report.link_ends = {
             how: sum(shaper.ends.get(how, 0) for shaper in shapers.values()) for how in ("cut", "close", "silent")
         }
--- a/pearstall/lab/shaper.py
+++ b/pearstall/lab/shaper.py
@@ -20,7 +20,7 @@
 LOCAL = "127.0.0.1"
 MAX_BUFFERED = 64 * 1024  # bytes buffered in one direction, above which reading pauses
 SEGMENT = 1400  # bytes; the unit in which data is lost
-MOST_TIMEOUT = 2.0  # seconds, to which the retransmission timeout doubles at most
+MAX_RETRANSMISSION_TIMEOUT = 2.0  # seconds
 
 
 @dataclass(slots=True, frozen=True)
@@ -187,7 +187,7 @@
             delivery_at = max(now, self.free_at) + link.delay + random.uniform(0, profile.jitter)
             if profile.loss and random.random() < profile.loss:
                 delivery_at += self.timeout
-                self.timeout = min(MOST_TIMEOUT, self.timeout * 2)
+                self.timeout = min(MAX_RETRANSMISSION_TIMEOUT, self.timeout * 2)
             else:
                 self.timeout = profile.timeout
             # Data behind a lost segment waits for its retransmission.
--- a/pearstall/lab/stations.py
+++ b/pearstall/lab/stations.py
@@ -68,7 +68,7 @@
         self.begun = False
         self.stuck = False
         self.txn = ""
-        self.execution: Execution | None = None  # set only if `owner.books` records it
+        self.execution: Execution | None = None  # set only if `owner.execution_log` records it
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -84,8 +84,8 @@
         self._close_ledger_entry()
 
     def _close_ledger_entry(self) -> None:
-        if self.execution is not None and self.owner.books is not None:
-            self.owner.books.ended(self.execution)
+        if self.execution is not None and self.owner.execution_log is not None:
+            self.owner.execution_log.ended(self.execution)
             self.execution = None
 
     def eof_received(self) -> bool:
@@ -136,9 +136,13 @@
         self.txn = head.headers.get("x-txn") or head.headers.get("x-request-id") or ""
         owner.register_request(self.txn, self)
         fault = owner.fault
-        if owner.books is not None and self.txn.startswith(owner.recorded_prefix) and self.transport is not None:
-            self.execution = Execution(self.txn, owner.books.count, fault, asyncio.get_running_loop().time())
-            owner.books.began(self.execution, self.transport)
+        if (
+            owner.execution_log is not None
+            and self.txn.startswith(owner.recorded_prefix)
+            and self.transport is not None
+        ):
+            self.execution = Execution(self.txn, owner.execution_log.count, fault, asyncio.get_running_loop().time())
+            owner.execution_log.began(self.execution, self.transport)
         if fault == "errors":
             self._reply("500 Error")
             return
@@ -199,7 +203,8 @@
 
 class ModelServer:
     """A model server at an address. `fault`: errors, silent, gray (every second request is accepted but never
-    answered), stalls, garbles, or empty. `books` records the executions whose ids start with `recorded_prefix`."""
+    answered), stalls, garbles, or empty. `execution_log` records the executions whose ids start with
+    `recorded_prefix`."""
 
     def __init__(
         self, name: str, address: tuple[str, int], settings: EngineSettings, zone: str = "", form: str = "platform",
@@ -215,13 +220,13 @@
         self.in_flight: dict[str, ServerLink] = {}  # requests being executed, by id
         self.requests = 0
         self.listener: asyncio.AbstractServer | None = None
-        self.seen: Callable[[str, ModelServer], None] = lambda txn, server: None
-        self.books: ExecutionLog | None = None
+        self.on_request: Callable[[str, ModelServer], None] = lambda txn, server: None
+        self.execution_log: ExecutionLog | None = None
         self.recorded_prefix = ""
 
     def register_request(self, txn: str, link: ServerLink) -> None:
         self.in_flight[txn] = link
-        self.seen(txn, self)
+        self.on_request(txn, self)
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
--- a/pearstall/lab/world.py
+++ b/pearstall/lab/world.py
@@ -260,9 +260,9 @@
         self.network.zones[name] = zone
         since = self.loop.wall() if cold else 0.0
         server = ModelServer(name, (name, 9000), self.scenario.engine, zone, since=since)
-        server.seen = self.check_execution
+        server.on_request = self.check_execution
         if self.devices is not None:
-            server.books, server.recorded_prefix = self.devices.ledger.books, "dev"
+            server.execution_log, server.recorded_prefix = self.devices.ledger.execution_log, "dev"
         self.servers[name] = server
         set_current_host(name)
         await server.start()
@@ -608,14 +608,14 @@
         if total["overdue"]:
             self.breach(f"{total['overdue']} answers were overdue")
         if self.devices is not None:
-            books = self.devices.books
+            stats = self.devices.stats
             result.devices = {
-                "asked": books.asked, "attempts": books.attempts, "moves": books.moves,
-                "abandoned": books.abandoned, "wire changes": books.wire_changes, "forgotten": books.forgotten,
-                **{f"held {kind}": count for kind, count in sorted(books.kinds.items())},
-                **{f"told {code}": count for code, count in sorted(books.told.items())},
+                "asked": stats.asked, "attempts": stats.attempts, "moves": stats.moves,
+                "abandoned": stats.abandoned, "wire changes": stats.wire_changes, "forgotten": stats.forgotten,
+                **{f"held {kind}": count for kind, count in sorted(stats.kinds.items())},
+                **{f"told {code}": count for code, count in sorted(stats.told.items())},
             }  # fmt: skip
-            result.device_waits = books.waits
+            result.device_waits = stats.waits
             for text in self.devices.check():
                 self.breach(text)
         result.events = self.loop.number
--- a/tests/test_edge_wires.py
+++ b/tests/test_edge_wires.py
@@ -61,7 +61,7 @@
     async def scene() -> None:
         async with installation([STEADY], more=UNLIMITED) as rig:
             ledger, ask = Ledger(rig.execution_log), InterruptedAsk("a", BODY)
-            ledger.asked("d", ask)
+            ledger.record_ask("d", ask)
             rig.edge.sessions.note = ledger.note
             device = rig.device("d")
             failure = await device.attempt(first, ask)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -29,7 +29,7 @@
     out, ask = Ledger(log), DeviceAsk("a", {})
     ask.take(1, list(WHOLE), 1.5)
     ask.end(Final(len(WHOLE) + 1, Kind.SERVED))
-    out.asked("d", ask)
+    out.record_ask("d", ask)
     out.note("final", device="d", ask="a", kind="served", number=len(WHOLE) + 1, executions=1)
     return out, ask, execution
 
@@ -49,11 +49,11 @@
         elif fault == "a byte":
             ask.events[1] = ask.events[1].replace(b"1:", b"2:")
         elif fault == "double execution":
-            checked.books.overlapping.append("d.a")
+            checked.execution_log.overlapping.append("d.a")
         elif fault == "four executions":
-            checked.books.by_txn["d.a"] = [deepcopy(execution) for _ in range(4)]
+            checked.execution_log.by_txn["d.a"] = [deepcopy(execution) for _ in range(4)]
         elif fault == "hidden execution":
-            checked.books.by_txn["d.a"] = [execution, deepcopy(execution)]
+            checked.execution_log.by_txn["d.a"] = [execution, deepcopy(execution)]
         elif fault == "two final records":
             ask.end(Final(len(WHOLE) + 1, Kind.CUT))
         elif fault == "two final notes":
