--- a/pearstall/lab/devices.py
+++ b/pearstall/lab/devices.py
@@ -45,14 +45,14 @@
     "too_many_asks",
     "too_slow",
 )
-SECRET = bytes(range(32))  # of a world's only key: it protects nothing real
+SECRET = bytes(range(32))  # of the only signing key of a simulated world; not confidential
 STALE_CELL_TIMEOUT = 30.0  # seconds until a cell that a device has left resets its old connections
 
 
 class Devices(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A class of devices. `every`: mean seconds between two asks of a device; `moves`: mean seconds in one cell,
     0: it never moves; `sleeps`: the share of asks whose device disconnects as soon as it has asked, and reconnects
-    `every` seconds later on average for the answer."""
+    `every` seconds later on average for the answer; `leaves`, `stays`, `cancels`: see `PhoneBehaviour`."""
 
     name: str
     count: int = 10
@@ -87,9 +87,9 @@
 
     asked: int = 0
     kinds: Counter[str] = field(default_factory=Counter)
-    forgotten: int = 0  # asks lost with a killed router, sent again as new asks
+    forgotten: int = 0  # asks that were lost with a killed router and sent again as new asks
     moves: int = 0
-    waits: list[float] = field(default_factory=list)  # from asking to receiving the final record
+    waits: list[float] = field(default_factory=list)  # from sending the ask until receiving its final record
 
 
 def operators_of(settings: EdgeSettings, host: str, klass: str) -> OperatorSettings:
@@ -189,11 +189,11 @@
         self._enter_new_cell()
         set_current_host(self.cell)
 
-        def forget() -> None:
+        def release_old_cell() -> None:
             world.network.restore_host(old)
             world.device_links.pop(old, None)
 
-        world.loop.call_later(STALE_CELL_TIMEOUT, forget)
+        world.loop.call_later(STALE_CELL_TIMEOUT, release_old_cell)
 
     async def ask(self) -> None:
         world, klass, stats, random = self.world, self.klass, self.load.stats, self.random
--- a/pearstall/lab/soak.py
+++ b/pearstall/lab/soak.py
@@ -3,8 +3,9 @@
     python -m pearstall.lab.soak --seeds 1-50 --seconds 12
 
 A run starts a router under `fault_shim`, with stand-in model servers and discovery. Clients send requests on
-connections that they keep open, also after SIGTERM, on each that the router leaves open until SIGKILL. The seed sets
-the kind of run, the servers' behaviour, changes of the server list, outages of discovery and the series of signals.
+persistent connections; after SIGTERM they continue on those that the router leaves open, until SIGKILL. The seed
+determines the kind of run, the servers' behaviour, the changes of the server list, the outages of discovery and the
+series of signals.
 """
 
 from __future__ import annotations
@@ -37,9 +38,9 @@
 FIRST_CHANGING_SERVER = 3
 CLIENTS = 12
 IDLE_CONNECTIONS = 150  # connections held open at once, against 64 descriptors for all
-MOST_ATTEMPTS = 3
-LATE_SECONDS = 0.5  # past its deadline an answer is merely worthless; later than this it counts as missing
-DRAIN_SECONDS = 0.55  # from the news of a change until no more attempts are sent there
+MAX_ATTEMPTS = 3
+LATE_SECONDS = 0.5  # after the deadline; an answer within them has no value, and a later one is a breach
+DRAIN_SECONDS = 0.55  # from learning that a server drains or left until no more attempts are sent to it
 NOTIFICATION_SECONDS = 6.0  # from a change until the router must know of it, whether or not a watch reported it
 LONGEST_DEADLINE = 3.0
 KILL_SECONDS = LONGEST_DEADLINE + 0.7  # after SIGTERM
@@ -70,6 +71,8 @@
 
 @dataclass(slots=True)
 class Report:
+    """The results of one run."""
+
     seed: int
     kind: str
     breaches: list[str] = field(default_factory=list)
@@ -96,12 +99,12 @@
 
     async def run(self) -> None:
         while self.soak.running:
-            if await self._connected():
+            if await self._ensure_connected():
                 await self._ask()
             await asyncio.sleep(self.random.uniform(0.0, 0.15))
         self.close()
 
-    async def _connected(self) -> bool:
+    async def _ensure_connected(self) -> bool:
         if self.writer is not None:
             return True
         if self.soak.no_new_connections:
@@ -170,6 +173,8 @@
 
 
 class Soak:
+    """One run: the router, its environment, and the checks after the run."""
+
     def __init__(self, seed: int, seconds: float, folder: Path) -> None:
         self.seed, self.seconds, self.folder = seed, seconds, folder
         self.random = Random(seed)
@@ -182,9 +187,11 @@
         self.requests: list[SentRequest] = []
         self.running = True
         self.no_new_connections = False
-        self.absences: dict[int, list[tuple[float, float]]] = {}  # by server: when it drained or left, and returned
+        # By server: when it began to drain or left, and when it returned.
+        self.absences: dict[int, list[tuple[float, float]]] = {}
         self.discovery_restored_at: list[float] = []  # when discovery was reachable again after an outage
-        self.stops: list[tuple[float, float]] = []  # of each router process: when it was asked to end, and dead
+        # For each router process: when its stop was requested, and when it was dead.
+        self.stops: list[tuple[float, float]] = []
 
     async def play(self) -> Report:
         async with AsyncExitStack() as stack:
@@ -197,13 +204,13 @@
             self.router = RouterProcess(self.folder, self._config(), self._launcher())
             stack.callback(self.router.kill)
             self.router.start()
-            if not await self._ready():
+            if not await self._wait_until_ready():
                 return self.report
             clients = [asyncio.create_task(SoakClient(self, number).run()) for number in range(CLIENTS)]
             if self.kind == "crowd":
                 stack.callback(asyncio.create_task(self._open_idle_connections()).cancel)
             changes = asyncio.create_task(self._change_server_list())
-            await self._signals()
+            await self._send_signals()
             self.running = False
             changes.cancel()
             await asyncio.gather(*clients)
@@ -232,7 +239,7 @@
         faults = msgspec.structs.replace(faults, seed=self.seed)
         return ["-m", "pearstall.lab.fault_shim", msgspec.json.encode(faults).decode(), "--"]
 
-    async def _ready(self) -> bool:
+    async def _wait_until_ready(self) -> bool:
         try:
             await self.router.until_health(200, READY_SECONDS)
         except TimeoutError:
@@ -291,8 +298,9 @@
             self.discovery.up = True
             self.discovery_restored_at.append(asyncio.get_running_loop().time())
 
-    async def _signals(self) -> None:
-        """Sends series of reloads; SIGTERM, sometimes twice or with a reload, and SIGKILL as early as is allowed."""
+    async def _send_signals(self) -> None:
+        """Sends series of reload signals, and restarts the router: with SIGTERM, sometimes followed by another one or
+        a reload, and SIGKILL as early as the shutdown's time limit allows; or with SIGKILL at once."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.seconds
         while loop.time() < end:
@@ -308,20 +316,20 @@
         loop = asyncio.get_running_loop()
         if self.router.exit_code is not None:
             return
-        asked = loop.time()
+        requested_at = loop.time()
         if graceful:
             self.router.send_signal(signal.SIGTERM)
             if self.random.random() < 0.3:
                 self.router.send_signal(self.random.choice((signal.SIGTERM, signal.SIGHUP)))
             await asyncio.sleep(0.4)
             self.no_new_connections = True
-            while self.router.exit_code is None and loop.time() < asked + KILL_SECONDS:
+            while self.router.exit_code is None and loop.time() < requested_at + KILL_SECONDS:
                 await asyncio.sleep(0.02)
             if self.router.exit_code not in (None, 0):
                 self._breach(f"exit code {self.router.exit_code} after SIGTERM")
-        killed = loop.time()
+        killed_at = loop.time()
         self.router.kill()
-        self.stops.append((asked if graceful else killed - MUST_ANSWER_SECONDS - 60.0, killed))
+        self.stops.append((requested_at if graceful else killed_at - MUST_ANSWER_SECONDS - 60.0, killed_at))
         await asyncio.sleep(self.random.uniform(0.0, 1.0))
         self.no_new_connections = False
         self.router.config["known"] = {
@@ -330,7 +338,7 @@
         await asyncio.sleep(self.random.choice((0.2, 1.0, 4.0)))  # meanwhile the list changes without the router
         self.router.start()
         self.report.restarts += 1
-        await self._ready()
+        await self._wait_until_ready()
 
     def _check(self) -> None:
         if self.router.exit_code is not None:
@@ -338,11 +346,11 @@
         for record in self.requests:
             self.report.ends[record.kind] += 1
             self._check_request(record)
-        asked = {record.txn for record in self.requests}
+        sent_txns = {record.txn for record in self.requests}
         for txn, executions in self.execution_log.by_txn.items():
-            if txn not in asked:
+            if txn not in sent_txns:
                 self._breach(f"{txn!r} was sent to a server, but no client sent it")
-            if len(executions) > MOST_ATTEMPTS:
+            if len(executions) > MAX_ATTEMPTS:
                 self._breach(f"{txn} was sent to servers {len(executions)} times")
             for execution in executions:
                 self._check_absence(execution.txn, execution.server, execution.began)
@@ -360,10 +368,12 @@
             return
         if self.kind == "sockets":
             return  # the connection was lost to an injected fault of the router's socket
-        for asked, dead in self.stops:
-            if record.sent <= dead <= record.ended + 0.1:  # the router was killed during this request
-                if record.sent <= asked + MUST_ANSWER_SECONDS and asked > dead - KILL_SECONDS - 1.0:
-                    self._breach(f"{record.txn}, sent {record.sent - asked:+.2f} s after SIGTERM, got no answer")
+        for requested_at, dead_at in self.stops:
+            if record.sent <= dead_at <= record.ended + 0.1:  # the router was killed during this request
+                if record.sent <= requested_at + MUST_ANSWER_SECONDS and requested_at > dead_at - KILL_SECONDS - 1.0:
+                    self._breach(
+                        f"{record.txn}, sent {record.sent - requested_at:+.2f} s after SIGTERM, got no answer"
+                    )
                 return
         if record.txn in self.execution_log.by_txn:
             self._breach(f"{record.txn} was sent to a server, but its connection ended without an answer")
@@ -371,13 +381,15 @@
             self._breach(f"{record.txn} got no answer in {record.ended - record.sent:.2f} s")
 
     def _check_absence(self, txn: str, server: int, began: float) -> None:
-        for left, back in self.absences.get(server, []):
-            announced = max(
-                [left]
-                + [at for at in self.discovery_restored_at if at < left + NOTIFICATION_SECONDS + LONGEST_OUTAGE]
+        for left_at, returned_at in self.absences.get(server, []):
+            announced_at = max(
+                [left_at]
+                + [at for at in self.discovery_restored_at if at < left_at + NOTIFICATION_SECONDS + LONGEST_OUTAGE]
             )
-            if announced + NOTIFICATION_SECONDS + DRAIN_SECONDS < began < back:
-                self._breach(f"{txn} was sent to s{server} {began - announced:.2f} s after its drain was announced")
+            if announced_at + NOTIFICATION_SECONDS + DRAIN_SECONDS < began < returned_at:
+                self._breach(
+                    f"{txn} was sent to s{server} {began - announced_at:.2f} s after its drain was announced"
+                )
 
 
 def seeds(text: str) -> list[int]:
@@ -393,13 +405,13 @@
 async def play_all(chosen: list[int], seconds: float, at_once: int) -> list[Report]:
     slots = asyncio.Semaphore(at_once)
 
-    async def one(seed: int) -> Report:
+    async def play_one(seed: int) -> Report:
         async with slots:
             report = await play(seed, seconds)
             print(report.line(), flush=True)
             return report
 
-    return list(await asyncio.gather(*(one(seed) for seed in chosen)))
+    return list(await asyncio.gather(*(play_one(seed) for seed in chosen)))
 
 
 def main() -> int:
--- a/pearstall/lab/stations.py
+++ b/pearstall/lab/stations.py
@@ -22,7 +22,7 @@
 TOKEN = b'data: {"choices":[{"index":0,"delta":{"content":"%b"},"finish_reason":%b}]}\n\n'
 TAGGED = b'data: {"id":"%b","choices":[{"index":0,"delta":{"content":"%b"},"finish_reason":%b}]}\n\n'
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-CHARACTERS = 4  # per token
+CHARACTERS_PER_TOKEN = 4
 
 
 class Work(msgspec.Struct):
@@ -49,9 +49,9 @@
             keys += [(name, at) for at in range(first // block, total // block)]
         return max(1, total), keys, max(1, request.work.wanted)
     text = "".join(str(message.get("content") or "") for message in request.messages)
-    size = block * CHARACTERS
+    size = block * CHARACTERS_PER_TOKEN
     keys = [text[:at] for at in range(size, len(text) + 1, size)]
-    return max(1, len(text) // CHARACTERS), list(keys), min(request.max_tokens or 64, 4096)
+    return max(1, len(text) // CHARACTERS_PER_TOKEN), list(keys), min(request.max_tokens or 64, 4096)
 
 
 class ServerLink(asyncio.Protocol):
@@ -66,9 +66,9 @@
         self.parts: list[bytes] = []
         self.sequence: Sequence_ | None = None
         self.begun = False
-        self.stuck = False
+        self.stalled = False
         self.txn = ""
-        self.execution: Execution | None = None  # set only if `owner.execution_log` records it
+        self.execution: Execution | None = None  # only if `owner.execution_log` records this request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -81,9 +81,9 @@
             sequence, self.sequence = self.sequence, None
             self.owner.in_flight.pop(self.txn, None) if self.owner.in_flight.get(self.txn) is self else None
             self.owner.engine.cancel(sequence)
-        self._close_ledger_entry()
+        self._record_end()
 
-    def _close_ledger_entry(self) -> None:
+    def _record_end(self) -> None:
         if self.execution is not None and self.owner.execution_log is not None:
             self.owner.execution_log.ended(self.execution)
             self.execution = None
@@ -124,7 +124,7 @@
 
     def _reply(self, status: str, headers: str = "") -> None:
         self.owner.in_flight.pop(self.txn, None)
-        self._close_ledger_entry()
+        self._record_end()
         self._write(f"HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n".encode())
 
     def _request(self, head: Head, body: bytes) -> None:
@@ -154,7 +154,7 @@
             self._reply("400 Bad Request")
             return
         prompt, keys, wanted = prompt_blocks(request, owner.engine.settings.block)
-        self.begun = self.stuck = False
+        self.begun = self.stalled = False
         outcome = owner.engine.submit(prompt, keys, wanted, self._on_tokens)
         if isinstance(outcome, Verdict):
             if owner.form == "platform":
@@ -168,8 +168,8 @@
         sequence = self.sequence
         if sequence is None:
             return
-        if self.stuck or (self.owner.fault == "stalls" and self.begun):
-            self.stuck = True  # sends nothing more, although the engine runs on
+        if self.stalled or (self.owner.fault == "stalls" and self.begun):
+            self.stalled = True  # sends nothing more, although the engine continues
             return
         reason = b'"stop"' if done else b"null"
         if self.execution is None:
@@ -197,7 +197,7 @@
                 self.execution.events += [part + b"\n\n" for part in usage.split(b"\n\n")[:-1]]
                 self.execution.whole = True
                 self.execution.ended = asyncio.get_running_loop().time()
-            self._close_ledger_entry()
+            self._record_end()
         self._write(response)
 
 
@@ -247,7 +247,7 @@
 
 
 class Discovery:
-    """A discovery service with watches. `lag`: seconds until a change is sent to the watches."""
+    """A discovery service with watches. `lag`: seconds from a change until it is sent to the watches."""
 
     def __init__(self, address: tuple[str, int], lag: float = 0.05) -> None:
         self.address, self.lag = address, lag
@@ -345,7 +345,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """The outcome of one try of a client. Times are the loop's seconds."""
+    """The outcome of one try of a client. Times are in seconds of the event loop's clock."""
 
     kind: str  # served, refused, failed, cut, lost
     first: float = 0.0
@@ -356,7 +356,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One client request of the generated load, with all its tries."""
+    """One client request of the generated load, with the outcomes of all its tries."""
 
     number: int
     klass: int
--- a/pearstall/lab/world.py
+++ b/pearstall/lab/world.py
@@ -34,7 +34,7 @@
 from pearstall.settings import settings_from_wire
 
 PORT, DISCOVERY = 7070, ("discovery", 8500)
-DRAIN_LIMIT = 0.5  # seconds after the announcement of a drain in which requests may still be sent
+DRAIN_LIMIT = 0.5  # seconds after the announcement of a drain during which requests may still be sent
 DEADLINE_TOLERANCE = 0.05  # seconds
 MAX_EXECUTIONS = 3
 BIN = 1.0  # seconds per point of the time series
@@ -59,7 +59,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault `kind`, injected at `at` for `lasts` seconds into `share` of its targets (or `count` of them).
+    """A fault of type `kind`, injected at time `at` for `lasts` seconds into `share` (or `count`) of its targets.
 
     With `every`, it repeats from then on as a Poisson process with a mean interval of `every` seconds (its hazard
     rate is 1 / every).
@@ -180,6 +180,8 @@
 
 
 class World:
+    """The simulated fleet of one run: builds it, generates its load and faults, and checks its invariants."""
+
     def __init__(self, scenario: Scenario, seed: int, trace: list[str] | None = None) -> None:
         self.scenario, self.seed, self.trace = scenario, seed, trace
         loop = asyncio.get_running_loop()
@@ -308,16 +310,16 @@
         scenario, random = self.scenario, self.stream("load")
         max_rate = scenario.most_rate
         weights = [klass.share for klass in scenario.classes]
-        end = self.begin + scenario.seconds
+        load_end = self.begin + scenario.seconds
         turns: list[tuple[float, int, ClientRequest, int]] = []
         now = self.begin
         while True:
             now += random.expovariate(max_rate)
-            while turns and turns[0][0] <= min(now, end):
-                due, _, last, left = heapq.heappop(turns)
-                await self._sleep_until(due)
-                self._start_client(self._next_turn(last, random), random, turns, left)
-            if now >= end:
+            while turns and turns[0][0] <= min(now, load_end):
+                start_at, _, previous, turns_left = heapq.heappop(turns)
+                await self._sleep_until(start_at)
+                self._start_client(self._next_turn(previous, random), random, turns, turns_left)
+            if now >= load_end:
                 return
             if random.random() * max_rate > scenario.rate(now - self.begin):
                 continue
@@ -326,38 +328,42 @@
             klass = scenario.classes[number]
             prefix = f"p{number}.{int(random.paretovariate(1.2)) % self.prefixes}"
             self.request_count += 1
-            own = max(16, int(random.lognormvariate(math.log(klass.prompt), 0.6)))
+            own_tokens = max(16, int(random.lognormvariate(math.log(klass.prompt), 0.6)))
             wanted = max(4, int(random.lognormvariate(math.log(klass.wanted), 0.5)))
             request = ClientRequest(
                 self.request_count, number, random.randrange(scenario.tenants), f"e{self.request_count}",
-                [(prefix, klass.shared), (f"t{self.request_count}", own)], wanted,
+                [(prefix, klass.shared), (f"t{self.request_count}", own_tokens)], wanted,
                 self.loop.now, self.loop.now + klass.give_up,
             )  # fmt: skip
-            left = int(random.expovariate(1 / klass.turns)) if klass.turns else 0
-            self._start_client(request, random, turns, left)
+            turns_left = int(random.expovariate(1 / klass.turns)) if klass.turns else 0
+            self._start_client(request, random, turns, turns_left)
 
     def _start_client(
-        self, request: ClientRequest, random: Random, turns: list[tuple[float, int, ClientRequest, int]], left: int
+        self,
+        request: ClientRequest,
+        random: Random,
+        turns: list[tuple[float, int, ClientRequest, int]],
+        turns_left: int,
     ) -> None:
         klass = self.scenario.classes[request.klass]
-        if left > 0:
-            due = self.loop.now + klass.wanted * 0.02 + random.expovariate(1 / klass.think)
-            heapq.heappush(turns, (due, request.number, request, left - 1))
+        if turns_left > 0:
+            next_turn_at = self.loop.now + klass.wanted * 0.02 + random.expovariate(1 / klass.think)
+            heapq.heappush(turns, (next_turn_at, request.number, request, turns_left - 1))
         self.open += 1
         self._add_to_series("asked", klass.value)
         self.result.asked += 1
         task = self.loop.create_task(self._run_client(request, random.random() < self.scenario.honours_advice))
         task.add_done_callback(self._client_done)
 
-    def _next_turn(self, last: ClientRequest, random: Random) -> ClientRequest:
+    def _next_turn(self, previous: ClientRequest, random: Random) -> ClientRequest:
         """Returns the next turn of a session; its prompt begins with the whole previous turn."""
-        klass = self.scenario.classes[last.klass]
+        klass = self.scenario.classes[previous.klass]
         self.request_count += 1
-        own = max(16, int(random.lognormvariate(math.log(klass.prompt), 0.6)))
+        own_tokens = max(16, int(random.lognormvariate(math.log(klass.prompt), 0.6)))
         wanted = max(4, int(random.lognormvariate(math.log(klass.wanted), 0.5)))
         return ClientRequest(
-            self.request_count, last.klass, last.tenant, last.session,
-            [*last.segments, (f"t{self.request_count}", own)], wanted,
+            self.request_count, previous.klass, previous.tenant, previous.session,
+            [*previous.segments, (f"t{self.request_count}", own_tokens)], wanted,
             self.loop.now, self.loop.now + klass.give_up,
         )  # fmt: skip
 
@@ -376,22 +382,22 @@
         klass = self.scenario.classes[request.klass]
         pause = 0.05
         for number in range(self.scenario.retries + 1):
-            left = request.deadline - self.loop.now
-            if left <= 0.01:
+            time_left = request.deadline - self.loop.now
+            if time_left <= 0.01:
                 break
             router = self._choose_router(request, number)
             if router is None:
                 request.tries.append(Answer("lost", 0.0, self.loop.now))
-                await asyncio.sleep(min(0.2, left))
+                await asyncio.sleep(min(0.2, time_left))
                 continue
             self._add_to_series("tries", 1)
             txn = f"{request.number}.{number}"
-            answer = await router.send_request(self._encode_request(request, txn, left), left)
+            answer = await router.send_request(self._encode_request(request, txn, time_left), time_left)
             request.tries.append(answer)
             self.note("got", txn, answer.kind, answer.tokens, round(answer.first, 9))
             self.executions.pop(txn, None)
             self.in_flight.pop(txn, None)
-            self._check_answer(request, txn, answer, left)
+            self._check_answer(request, txn, answer, time_left)
             if answer.kind == "served" or answer.first:
                 break
             if answer.kind == "refused":
@@ -412,7 +418,7 @@
             return None
         return in_service[(request.number * 2654435761 + number * 7919) % len(in_service)]
 
-    def _encode_request(self, request: ClientRequest, txn: str, left: float) -> bytes:
+    def _encode_request(self, request: ClientRequest, txn: str, time_left: float) -> bytes:
         klass = self.scenario.classes[request.klass]
         body = msgspec.json.encode(
             {"model": klass.name, "stream": True, "work": {"segments": request.segments, "wanted": request.wanted}}
@@ -420,12 +426,12 @@
         prefix, length = request.segments[0]
         return (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Txn: {txn}\r\nX-Lane: {klass.name}\r\n"
-            f"X-Org: t{request.tenant}\r\nX-Entity: {request.session}\r\nX-Remaining: {left:.6f}\r\n"
+            f"X-Org: t{request.tenant}\r\nX-Entity: {request.session}\r\nX-Remaining: {time_left:.6f}\r\n"
             f"X-Labels: prefix={prefix},prefix_len={length},prompt_len={request.prompt}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         ).encode() + body
 
-    def _check_answer(self, request: ClientRequest, txn: str, answer: Answer, left: float) -> None:
+    def _check_answer(self, request: ClientRequest, txn: str, answer: Answer, time_left: float) -> None:
         when = answer.first or answer.last
         if (
             answer.kind in ("refused", "failed", "served", "cut")
@@ -440,17 +446,19 @@
         last = request.tries[-1] if request.tries else Answer("lost")
         result.tries += len(request.tries)
         result.kinds[last.kind] = result.kinds.get(last.kind, 0) + 1
-        part = 0.0
+        share_earned = 0.0
         if last.kind == "served":
             wait = last.first - request.at
             result.first.setdefault(klass.name, []).append(wait)
             aim = klass.aim + klass.aim_per_k * request.prompt / 1000
-            gap = (last.last - last.first) / max(1, last.tokens - 1) / klass.token_aim if klass.token_aim else 0.0
-            late = klass.late_share if wait <= klass.give_up and gap <= 2 else 0.0
-            part = 1.0 if wait <= aim and gap <= 1 else late
-        self._add_to_series("worth", part * klass.value, request.at)
-        self.worths[klass.name].append(part)
-        self.tenants[f"t{request.tenant}"].append(part)
+            token_latency_ratio = (
+                (last.last - last.first) / max(1, last.tokens - 1) / klass.token_aim if klass.token_aim else 0.0
+            )
+            late = klass.late_share if wait <= klass.give_up and token_latency_ratio <= 2 else 0.0
+            share_earned = 1.0 if wait <= aim and token_latency_ratio <= 1 else late
+        self._add_to_series("worth", share_earned * klass.value, request.at)
+        self.worths[klass.name].append(share_earned)
+        self.tenants[f"t{request.tenant}"].append(share_earned)
 
     # -- faults --------------------------------------------------------------------------------------------
 
@@ -551,9 +559,9 @@
 
     async def _replace(self, fault: Fault, names: list[str]) -> None:
         """Rolls out a release: each server drains for 2 s, is gone for 1 s, and comes back cold."""
-        gap = fault.lasts / len(names)
+        interval = fault.lasts / len(names)
 
-        async def one(name: str) -> None:
+        async def replace_server(name: str) -> None:
             server = self.servers[name]
             server.status = "draining"
             self.discovery.put(server.row())
@@ -568,14 +576,14 @@
             self.drained.pop(name, None)
             await asyncio.sleep(1.0)
             speed = server.engine.speed
-            fresh = await self.start_server(name, server.zone, cold=True)
-            fresh.engine.speed = speed
-            _carry_counters_over(server, fresh)
-            self.discovery.put(fresh.row())
+            replacement = await self.start_server(name, server.zone, cold=True)
+            replacement.engine.speed = speed
+            _carry_counters_over(server, replacement)
+            self.discovery.put(replacement.row())
 
         for name in names:
-            self.loop.create_task(one(name))
-            await asyncio.sleep(gap)
+            self.loop.create_task(replace_server(name))
+            await asyncio.sleep(interval)
 
     # -- results -------------------------------------------------------------------------------------------
 
@@ -631,12 +639,15 @@
 
 
 def _heavy_tail(random: Random, factor: float) -> Callable[[], float]:
-    """Slows one step in twenty, `factor` times on average; a Pareto shape of 1.5 has infinite variance."""
+    """Returns a function that draws the slowdown of an engine step.
+
+    One step in twenty is slowed, `factor` times on average. A Pareto distribution of shape 1.5 has infinite variance.
+    """
     return lambda: 1.0 if random.random() >= 0.05 else max(1.0, factor / 3 * random.paretovariate(1.5))
 
 
 def _carry_counters_over(old: ModelServer, new: ModelServer) -> None:
-    """Continues the counters of a server in its replacement."""
+    """Makes a replacement continue the counters of the server that it replaces."""
     new.engine.counters = old.engine.counters
     new.requests = old.requests
 
@@ -688,23 +699,23 @@
     async def send_request(self, data: bytes, timeout: float) -> Answer:
         world = self.world
         while self.idle:
-            end = self.idle.pop()
-            if not end.gone:
+            connection = self.idle.pop()
+            if not connection.gone:
                 break
         else:
             try:
                 async with asyncio.timeout(timeout):
-                    _, end = await world.network.connect(ClientConnection, (self.host, PORT), "clients")
+                    _, connection = await world.network.connect(ClientConnection, (self.host, PORT), "clients")
             except (OSError, TimeoutError):
                 return Answer("lost", 0.0, world.loop.now)
-        waiting = end.ask(data)
-        limit = world.loop.call_later(timeout + 0.2, _abort_unless_begun, end)
-        answer = await waiting
-        limit.cancel()
-        if end.begun and answer.kind == "cut" and not end.gone and end.transport is not None:
-            end.transport.abort()
-        if not end.gone:
-            self.idle.append(end)
+        pending_answer = connection.ask(data)
+        abort_timer = world.loop.call_later(timeout + 0.2, _abort_unless_begun, connection)
+        answer = await pending_answer
+        abort_timer.cancel()
+        if connection.begun and answer.kind == "cut" and not connection.gone and connection.transport is not None:
+            connection.transport.abort()
+        if not connection.gone:
+            self.idle.append(connection)
         return answer
 
     async def restart(self, gracefully: bool, lasts: float) -> None:
@@ -728,10 +739,10 @@
         await self.start()
 
 
-def _abort_unless_begun(end: ClientConnection) -> None:
+def _abort_unless_begun(connection: ClientConnection) -> None:
     """Aborts the connection of a client that timed out waiting for its first token."""
-    if not end.begun and end.transport is not None:
-        end.transport.abort()
+    if not connection.begun and connection.transport is not None:
+        connection.transport.abort()
 
 
 def _counter_values(program: Program) -> dict[str, int]:
@@ -828,14 +839,14 @@
     if progress is not None or watch is not None:
         world.loop.create_task(report_progress())
     await world.load()
-    longest = max(klass.give_up for klass in scenario.classes)
-    last = world.loop.now + 20 * longest
-    while world.open and world.loop.now < last:
+    longest_wait = max(klass.give_up for klass in scenario.classes)
+    wait_until = world.loop.now + 20 * longest_wait
+    while world.open and world.loop.now < wait_until:
         await asyncio.sleep(0.05)
-    while world.devices is not None and world.devices.open and world.loop.now < last + 300:
+    while world.devices is not None and world.devices.open and world.loop.now < wait_until + 300:
         await asyncio.sleep(0.5)
     if world.open:
-        world.breach(f"{world.open} clients are still waiting {20 * longest:.0f} s after the last request")
+        world.breach(f"{world.open} clients are still waiting {20 * longest_wait:.0f} s after the last request")
     return world.finish()
 
 
