--- a/pearstall/models/attempt.py
+++ b/pearstall/models/attempt.py
@@ -68,8 +68,8 @@
 )
 
 
-def _rules(second_copies: bool) -> Settings:
-    rows = [{"aim": int(AIM * S), "give_up": int(GIVE_UP * S), "late_worth": 0.5}]
+def _settings(second_copies: bool) -> Settings:
+    classes = [{"aim": int(AIM * S), "give_up": int(GIVE_UP * S), "late_worth": 0.5}]
     return Settings.from_mapping(
         {
             "tick": 5000,
@@ -79,12 +79,12 @@
             "cold_share": 0.2,
             "tip_multiple": 2.5,
             "second_copies": second_copies,
-            "classes": rows,
+            "classes": classes,
         }
     )
 
 
-RULES = {answer: _rules(answer) for answer in (False, True)}
+SETTINGS_BY_SECOND_COPIES = {enabled: _settings(enabled) for enabled in (False, True)}
 
 
 class Clock:
@@ -144,7 +144,7 @@
 
 
 class ScriptedClient:
-    """A scripted client with one query; records what it receives."""
+    """A scripted client with one query, which records what it receives."""
 
     def __init__(self, number: int, whole: bool = False) -> None:
         self.number, self.whole = number, whole  # whole: events are buffered until the answer ends
@@ -216,7 +216,7 @@
     ) -> None:
         self.clock, self.counters = Clock(), Counters()
         self.max_in_flight = 2 if second_copies else 1
-        self.core = Core(RULES[second_copies], 1, Deadlines(self.clock), self.counters, self)
+        self.core = Core(SETTINGS_BY_SECOND_COPIES[second_copies], 1, Deadlines(self.clock), self.counters, self)
         self.core.router.random = lambda: draw
         self.lists, self.may_hurry, self.max_events = lists, may_hurry, events
         self.clients = [ScriptedClient(number, whole) for number in range(queries)]
@@ -237,13 +237,13 @@
         self.premises.add("at-most-three")
         if client.executions:
             self.premises.add("never-two-out")
-        out = [
+        numbers = [
             earlier.number
             for earlier, carrier in zip(client.executions, client.carriers, strict=True)
             if carrier.open
         ]
-        if len(out) >= self.max_in_flight:
-            self.breaches_seen.append(f"never-two-out: {_name(client)} is sent again while {out} are in flight")
+        if len(numbers) >= self.max_in_flight:
+            self.breaches_seen.append(f"never-two-out: {_name(client)} is sent again while {numbers} are in flight")
         if len(client.executions) >= MAX_EXECUTIONS:
             self.breaches_seen.append(f"at-most-three: {_name(client)} gets {len(client.executions) + 1} executions")
         if client.events:
@@ -431,18 +431,20 @@
                 out.append(f"one-final: {name} received {', '.join(client.final_answers)}")
             if client.final_answers and client.left:
                 out.append(f"one-final: {name} disconnected, but received {client.final_answers[0]}")
-            live_run = client.live_execution()
-            begun = bool(client.events) or (live_run is not None and live_run.streaming)
+            current = client.live_execution()
+            begun = bool(client.events) or (current is not None and current.streaming)
             if not client.over and not begun and now > query.deadline + DEADLINE_TOLERANCE:
                 out.append(f"in-time: {name} is unanswered {now - query.deadline:.3f} s after its deadline")
-            made = list(client.events)
-            if made and (
-                len({execution for execution, _ in made}) > 1
-                or [at for _, at in made] != list(range(1, len(made) + 1))
+            received = list(client.events)
+            if received and (
+                len({execution for execution, _ in received}) > 1
+                or [at for _, at in received] != list(range(1, len(received) + 1))
             ):
-                out.append(f"whole: {name} received {made}")
-            if "served" in client.final_answers and len(made) != (client.made.get(made[0][0], 0) if made else 0):
-                out.append(f"whole: {name} was served with {len(made)} events")
+                out.append(f"whole: {name} received {received}")
+            if "served" in client.final_answers and len(received) != (
+                client.made.get(received[0][0], 0) if received else 0
+            ):
+                out.append(f"whole: {name} was served with {len(received)} events")
             live = sum(not execution.ended for execution in client.executions)
             open = sum(carrier.open for carrier in client.carriers)
             if client.over and open:
@@ -452,9 +454,9 @@
             if query.in_flight != live:
                 out.append(f"books: {name} has {live} in flight, but the core counts {query.in_flight}")
             call = router.pending.get(client.handle)
-            known = call.in_flight if call is not None else 0
-            if known != live:
-                out.append(f"books: {name} has {live} in flight, but the Router counts {known}")
+            router_count = call.in_flight if call is not None else 0
+            if router_count != live:
+                out.append(f"books: {name} has {live} in flight, but the Router counts {router_count}")
             if not client.over and call is None:
                 out.append(f"not-delayed: the Router gave up {name} without notifying its client")
             if call is not None and call.answered and not client.over:
@@ -503,9 +505,9 @@
         """Without further events from servers and clients, timers alone must end every query."""
         if broken := fire_due_timers(self, self.clock.due):
             return broken
-        open = [_name(client) for client in self.clients if client.query is not None and not client.over]
-        if open:
-            return [f"answered: {', '.join(open)} never ended"]
+        unfinished = [_name(client) for client in self.clients if client.query is not None and not client.over]
+        if unfinished:
+            return [f"answered: {', '.join(unfinished)} never ended"]
         if len(self.core.deadlines):
             return [f"at-rest: {len(self.core.deadlines)} timers"]
         return []
@@ -526,7 +528,10 @@
 
 
 def independent(one: str, other: str) -> bool:
-    """Events of two different queries that send nothing and do not affect the statistics of a server."""
+    """Tells whether two events commute.
+
+    They do if they concern two different queries, send nothing and do not affect the statistics of a server.
+    """
     first, second = one.split(" "), other.split(" ")
     return first[0] in COMMUTING and second[0] in COMMUTING and first[1] != second[1]
 
--- a/pearstall/models/listing.py
+++ b/pearstall/models/listing.py
@@ -17,7 +17,7 @@
 from functools import partial
 
 from pearstall.interface import ListKind, ReplicaList
-from pearstall.models.attempt import RULES, Carrier, Clock, ScriptedClient
+from pearstall.models.attempt import SETTINGS_BY_SECOND_COPIES, Carrier, Clock, ScriptedClient
 from pearstall.models.explore import Model, Property
 from pearstall.net.cluster import Cluster
 from pearstall.net.config import Names
@@ -52,7 +52,7 @@
     Property("freed", "nothing leaks", "A server that left the list and has nothing in flight is removed."),
 )
 
-WATCHED = replace(RULES[False], subscribe=True)
+WATCHED = replace(SETTINGS_BY_SECOND_COPIES[False], subscribe=True)
 ServerRows = dict[str, tuple[str, str]]  # name -> address, status
 
 
--- a/pearstall/models/session.py
+++ b/pearstall/models/session.py
@@ -83,7 +83,7 @@
 
 
 class Connection:
-    """A reader of one ask; takes all available records unless it is slow."""
+    """A reader of one ask, which takes all available records unless it is slow."""
 
     def __init__(self, machine: SessionMachine, name: str, id: str) -> None:
         self.machine, self.name, self.id = machine, name, id
@@ -133,7 +133,7 @@
         )
         self.ids = [f"a{number}" for number in range(asks)]
         self.max_events, self.evicts, self.slow = events, evicts, slow
-        self.memory_ran_short = False  # acknowledged or waiting asks may have been evicted
+        self.memory_ran_short = False  # from then on, acknowledged and waiting asks may have been evicted
         self.breaches_seen: list[str] = []
         self.premises: set[str] = set()
         self.readers: dict[tuple[str, str], Connection] = {}
@@ -232,13 +232,13 @@
         session = self.sessions.find("d", "t")
         for id in self.ids:
             found = self._ask(id)
-            stands = found.final if found is not None else None
-            if stands is None:
+            current = found.final if found is not None else None
+            if current is None:
                 continue
-            before = self.finals_made.setdefault(id, stands)
+            before = self.finals_made.setdefault(id, current)
             self.since.setdefault(id, self.clock.now)
-            if (before.number, before.kind, before.reason) != (stands.number, stands.kind, stands.reason):
-                self.breaches_seen.append(f"one-final: {id} had {before}, and now has {stands}")
+            if (before.number, before.kind, before.reason) != (current.number, current.kind, current.reason):
+                self.breaches_seen.append(f"one-final: {id} had {before}, and now has {current}")
         if session is not None:
             if session.epoch < self.epoch:
                 self.breaches_seen.append(f"epoch: decreased from {self.epoch} to {session.epoch}")
@@ -282,7 +282,7 @@
                 self.breaches_seen.append(f"nothing-lost: {id} has {last}, but the following records are gone")
 
     def _may_be_forgotten(self, id: str) -> bool:
-        """Tells whether its record may have been removed, because it expired unfetched or memory ran short."""
+        """Tells whether the ask's record may have been removed, because it expired unfetched or memory ran short."""
         return self.memory_ran_short or self.clock.now - self.since.get(id, self.clock.now) >= BOUNDS.remember
 
     def _apply_to_ask(self, kind: str, id: str) -> None:
@@ -326,9 +326,9 @@
         asks = []
         for id in self.ids:
             found = self._ask(id)
-            mine: Any = None
+            stored: Any = None
             if isinstance(found, Ask):
-                mine = (
+                stored = (
                     int(found.state),
                     found.first,
                     len(found.events),
@@ -339,9 +339,9 @@
                     found.timer is not None,
                 )
             elif found is not None:
-                mine = found.final
+                stored = found.final
             asks.append(
-                (id in self.asked, mine, self.highest_received.get(id, 0), id in self.final, self.made.get(id, 0))
+                (id in self.asked, stored, self.highest_received.get(id, 0), id in self.final, self.made.get(id, 0))
             )
         readers = sorted((id, name, one.at, one.lost, one.slow) for (id, name), one in self.readers.items())
         timers = sorted(
@@ -428,7 +428,7 @@
         return out
 
     def settle(self) -> list[str]:
-        """All readers disconnect, and time passes."""
+        """Disconnects all readers, and lets time pass until no timer is left."""
         for (id, name), reader in list(self.readers.items()):
             if not reader.lost:
                 self.apply(f"detach {id} {name}")
