--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -52,8 +52,8 @@
                 continue
 
 
-def part(values: list[float], share: float) -> float:
-    return sorted(values)[min(len(values) - 1, int(share * len(values)))] if values else 0.0
+def quantile(values: list[float], fraction: float) -> float:
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))] if values else 0.0
 
 
 PHASES = ("before", "while", "after")
@@ -61,7 +61,8 @@
 
 
 def phases(events: list[tuple[int, int, list[Any]]]) -> tuple[int, int]:
-    """The first and the last time of a replacement of servers or routers; both after the end if there was none."""
+    """Returns the times of the first and the last replacement of a server or router; both are after the end of the
+    run if there was none."""
     begin, names, changes = events[0][0], Counter[int](), []
     for at, router, row in events:
         if row[0] == "start":
@@ -150,59 +151,59 @@
         self.connects: Counter[tuple[int, int]] = Counter()
         self.in_flight: Counter[int] = Counter()
         self.requests: dict[tuple[int, int], dict[str, Any]] = {}
-        self.attempts: dict[tuple[int, int, int], tuple[int, int]] = {}  # server, and its streams in flight before
-        self.started: dict[int, int] = {}
-        self.failed: dict[tuple[int, int], str] = {}
+        # The server of each attempt, and the streams in flight there when the attempt was sent.
+        self.attempts: dict[tuple[int, int, int], tuple[int, int]] = {}
+        self.started_at: dict[int, int] = {}
+        self.last_failure: dict[tuple[int, int], str] = {}
         self.ejections: Counter[str] = Counter()
-        self.watching: set[int] = set()
+        self.routers_watching: set[int] = set()
         self.list_requested_at: dict[int, int] = {}
         self.list_waits: list[float] = []
         self.start_cpu: list[float] = []
         self.cpu: dict[tuple[int, int], float] = {}
         self.zones: dict[int, int] = {}
         self.last_server: dict[int, int] = {}  # by session: the server that answered its last turn
-        self.cached_by_move: dict[str, list[float]] = defaultdict(
-            list
-        )  # cached shares, by the previous turn's server
+        # Cached shares of turns, by where the server of the session's previous turn was.
+        self.cached_by_move: dict[str, list[float]] = defaultdict(list)
 
     def record(self, second: int, router: int, row: list[Any]) -> None:
-        now, (kind, at, *rest) = self.seconds[second], row
+        counts, (kind, at, *rest) = self.seconds[second], row
         if kind == "start":
             self.start_cpu.append(rest[1])
-            self.watching.discard(router)
+            self.routers_watching.discard(router)
             for key in [key for key in self.attempts if key[0] == router]:
                 self.in_flight[self.attempts.pop(key)[0]] -= 1
         elif kind == "cpu":
             self.cpu[router, len(self.start_cpu)] = rest[0]
         elif kind == "link":
-            now[rest[0].split()[0]] += 1
+            counts[rest[0].split()[0]] += 1
             self.connects[rest[1], second] += rest[0] == "connect"
         elif kind == "ReplicaList":
             self._on_list(at, router, *rest)
         elif kind != "query":
             self._on_event(second, at, router, kind, *rest)
-        self.watches[second] = len(self.watching)
+        self.watches[second] = len(self.routers_watching)
         self.most_streams[second] = max(self.in_flight.values(), default=0)
 
     def _on_list(self, at: int, router: int, kind: int, entries: list[list[int]]) -> None:
         if kind == ListKind.FAILED:
-            self.watching.discard(router)
+            self.routers_watching.discard(router)
         elif kind != ListKind.CACHED:
-            self.watching.add(router)
+            self.routers_watching.add(router)
         if kind != ListKind.CACHED and router in self.list_requested_at:
             self.list_waits.append((at - self.list_requested_at.pop(router)) / 1e6)
         self.zones |= {id: zone for id, zone, _, _, _ in entries}
-        self.started |= {id: since for id, _, _, state, since in entries if state == State.READY}
+        self.started_at |= {id: since for id, _, _, state, since in entries if state == State.READY}
 
     def _on_event(
         self, second: int, at: int, router: int, kind: str, event: dict[str, Any], actions: list[Any]
     ) -> None:
-        now = self.seconds[second]
+        counts = self.seconds[second]
         if kind == "Request":
             self.requests[router, event["id"]] = event | {"sent": 0}
-            now["asked"] += 1
+            counts["asked"] += 1
         elif kind == "FirstToken":
-            now["first"] += 1
+            counts["first"] += 1
             self.first_waits[second].append(event["took"] / 1e6)
             _, streams = self.attempts.get((router, event["request"], event["attempt"]), (0, 0))
             self.first_by_streams[streams // STREAMS].append(event["took"] / 1e6)
@@ -210,15 +211,15 @@
             replica, streams = self.attempts.pop((router, event["request"], event["attempt"]), (0, 0))
             self.in_flight[replica] -= 1
             name = Result(event["result"]).name
-            now[name] += 1
+            counts[name] += 1
             if name == "OK":
                 request = self.requests.get((router, event["request"]))  # None if a killed router lost the line
                 if request is not None and request["prompt_tokens"]:
                     self.cached_shares[second].append(event["kept_tokens"] / request["prompt_tokens"])
-                    now["read"] += int(request["prompt_tokens"] - event["kept_tokens"])
+                    counts["read"] += int(request["prompt_tokens"] - event["kept_tokens"])
                     self._count_turn(request["session"], replica, self.cached_shares[second][-1])
             else:
-                self.failed[router, replica] = name
+                self.last_failure[router, replica] = name
                 self.timeouts_by_streams[streams // STREAMS] += name == "TIMEOUT"
         for name, action in actions:
             request = (
@@ -228,16 +229,16 @@
                 replica = action["replica"]
                 self.attempts[router, action["request"], request["sent"]] = replica, self.in_flight[replica]
                 self.in_flight[replica] += 1
-                now["again" if request["sent"] else "sent"] += 1
-                now["cold"] += at - self.started.get(replica, 0) < COLD
+                counts["again" if request["sent"] else "sent"] += 1
+                counts["cold"] += at - self.started_at.get(replica, 0) < COLD
                 request["sent"] += 1
             elif name == "Refuse":
-                now["refused again" if request["sent"] else "refused"] += 1
+                counts["refused again" if request["sent"] else "refused"] += 1
             elif name == "Subscribe":
-                now["call"] += 1
+                counts["call"] += 1
                 self.list_requested_at[router] = at
             elif name == "Log" and action["text"].startswith("eject replica "):
-                self.ejections[self.failed.get((router, int(action["text"].split()[2])), "?")] += 1
+                self.ejections[self.last_failure.get((router, int(action["text"].split()[2])), "?")] += 1
 
     def _count_turn(self, session: int, replica: int, cached_share: float) -> None:
         before = self.last_server.get(session, replica)
@@ -249,27 +250,29 @@
 
 
 def follow(folder: Path, txn: str) -> Iterator[str]:
-    """The path of a request: the events and actions of each router, including the client's retries."""
+    """Yields the path of a request: the events and actions of each router, including the client's retries."""
     by_router = {path.stem: list(rows(path)) for path in folder.glob("*.log")}
-    named = {(name, row[2]): row[3] for name, its_rows in by_router.items() for row in its_rows if row[0] == "query"}
-    asked = {
+    txns = {
+        (name, row[2]): row[3] for name, router_rows in by_router.items() for row in router_rows if row[0] == "query"
+    }
+    requests = {
         (name, row[2]["id"]): row[2]
-        for name, its_rows in by_router.items()
-        for row in its_rows
+        for name, router_rows in by_router.items()
+        for row in router_rows
         if row[0] == "Request"
     }
-    matching = [asked[key] for key, other in named.items() if other == txn and key in asked]
+    matching = [requests[key] for key, request_txn in txns.items() if request_txn == txn and key in requests]
     prompts = {(one["session"], one["prompt_tokens"]) for one in matching if one["session"]}
-    selected = {key for key, other in named.items() if other == txn}
-    selected |= {key for key, one in asked.items() if (one["session"], one["prompt_tokens"]) in prompts}
+    selected = {key for key, request_txn in txns.items() if request_txn == txn}
+    selected |= {key for key, one in requests.items() if (one["session"], one["prompt_tokens"]) in prompts}
     lines = []
-    for name, its_rows in by_router.items():
-        for row in its_rows:
+    for name, router_rows in by_router.items():
+        for row in router_rows:
             event = row[2] if len(row) > 2 else None
             request_id = event if row[0] == "query" else event.get("request", event.get("id", event.get("tag"))) if (
                 isinstance(event, dict)) else None  # fmt: skip
             if (name, request_id) in selected:
-                lines.append((row[1], name, named.get((name, request_id), "?"), row))
+                lines.append((row[1], name, txns.get((name, request_id), "?"), row))
     lines.sort(key=lambda one: one[:2])
     for at, name, row_txn, row in lines:
         yield f"{(at - lines[0][0]) / 1e6:9.6f} {name} {row_txn} {row[0]} {json.dumps(row[2:])}"
@@ -290,29 +293,32 @@
         classes.record(at, router, row)
         terms.record(at, router, row)
     table = [
-        {"s": s} | {name: now[name] for name in COLUMNS} | {
-            "p50": round(median(fleet.first_waits[s] or [0]), 2), "p90": round(part(fleet.first_waits[s], 0.9), 2),
+        {"s": s} | {name: counts[name] for name in COLUMNS} | {
+            "p50": round(median(fleet.first_waits[s] or [0]), 2),
+            "p90": round(quantile(fleet.first_waits[s], 0.9), 2),
             "kept": round(mean(fleet.cached_shares[s] or [0]), 2), "most": fleet.most_streams[s],
             "watches": fleet.watches[s],
         }
-        for s, now in sorted(fleet.seconds.items())
+        for s, counts in sorted(fleet.seconds.items())
     ]  # fmt: skip
     by_streams = {
         f"{n * STREAMS} to {n * STREAMS + STREAMS - 1}": {
             "first": len(fleet.first_by_streams[n]), "timeouts": fleet.timeouts_by_streams[n],
             "p50": round(median(fleet.first_by_streams[n] or [0]), 2),
-            "p90": round(part(fleet.first_by_streams[n], 0.9), 2),
+            "p90": round(quantile(fleet.first_by_streams[n], 0.9), 2),
         }
         for n in sorted(set(fleet.first_by_streams) | set(fleet.timeouts_by_streams))
     }  # fmt: skip
-    asked = sum(now["asked"] for now in fleet.seconds.values())
+    asked = sum(counts["asked"] for counts in fleet.seconds.values())
     return {
         "table": table, "by class": classes.table(), "by streams out": by_streams,
-        "turns": {where: [len(kept), round(mean(kept), 2)] for where, kept in sorted(fleet.cached_by_move.items())},
+        "turns": {
+            where: [len(shares), round(mean(shares), 2)] for where, shares in sorted(fleet.cached_by_move.items())
+        },
         "connects to one server in a second, at most": max(fleet.connects.values(), default=0),
-        "calls to discovery": sum(now["call"] for now in fleet.seconds.values()),
+        "calls to discovery": sum(counts["call"] for counts in fleet.seconds.values()),
         "wait for a list, median and longest": [
-            round(part(fleet.list_waits, 0.5), 3), round(part(fleet.list_waits, 1), 3)
+            round(quantile(fleet.list_waits, 0.5), 3), round(quantile(fleet.list_waits, 1), 3)
         ],
         "ejections by the failure before": dict(fleet.ejections),
         "start, CPU seconds": round(mean(fleet.start_cpu), 3),
