--- a/pearstall/lab/poor_links.py
+++ b/pearstall/lab/poor_links.py
@@ -78,9 +78,9 @@
         self.ledger.record_ask(self.name, ask)
         began = time.monotonic()
         async with asyncio.timeout(timeout):
-            error = await self.fetch(ask)
-        if error is not None:
-            ask.breaches.append(f"failed with {error.code}: {error.detail}")
+            failure = await self.fetch(ask)
+        if failure is not None:
+            ask.breaches.append(f"failed with {failure.code}: {failure.detail}")
         self.report.waits.append(time.monotonic() - began)
 
 
