--- a/pearstall/lab/world.py
+++ b/pearstall/lab/world.py
@@ -282,9 +282,8 @@
         previous = self.in_flight.get(txn)
         if previous is not None:
             link = previous[1]
-            open_transport = (
-                link.transport if previous[0].in_flight.get(txn) is link else None
-            )  # None: already answered
+            # None if the previous server has already answered.
+            open_transport = link.transport if previous[0].in_flight.get(txn) is link else None
             if open_transport is not None and not self.network.peer_closed(open_transport):
                 self.breach(f"{txn}: at {server.name} while out at {previous[0].name}")
         self.in_flight[txn] = (server, server.in_flight[txn])
