--- a/pearstall/models/attempt.py
+++ b/pearstall/models/attempt.py
@@ -103,13 +103,14 @@
         heapq.heappush(self.calls, (when, self.count, call))
         return call
 
-    def due(self) -> bool:
+    def has_timer(self) -> bool:
+        """Returns whether a timer is pending, after removing the cancelled ones before it."""
         while self.calls and self.calls[0][2].callback is None:
             heapq.heappop(self.calls)
         return bool(self.calls)
 
     def fire(self) -> None:
-        if self.due():
+        if self.has_timer():
             when, _, call = heapq.heappop(self.calls)
             self.now = max(self.now, when)
             assert call.callback is not None
@@ -303,7 +304,7 @@
                 }[status]
         if self.may_hurry and not self.hurried:
             out += ["hurry", "move"]
-        if self.clock.due():
+        if self.clock.has_timer():
             out.append("tick")
         return out
 
@@ -503,7 +504,7 @@
 
     def settle(self) -> list[str]:
         """Without further events from servers and clients, timers alone must end every query."""
-        if broken := fire_due_timers(self, self.clock.due):
+        if broken := fire_due_timers(self, self.clock.has_timer):
             return broken
         unfinished = [_name(client) for client in self.clients if client.query is not None and not client.over]
         if unfinished:
@@ -528,7 +529,7 @@
 
 
 def independent(one: str, other: str) -> bool:
-    """Tells whether two events commute.
+    """Returns whether two events commute.
 
     They do if they concern two different queries, send nothing and do not affect the statistics of a server.
     """
--- a/pearstall/models/client.py
+++ b/pearstall/models/client.py
@@ -200,7 +200,7 @@
             out.append("turn")
         if self.leaves and not self.links.leaving:
             out.append("leave")
-        if self.clock.due():
+        if self.clock.has_timer():
             out.append("tick")
         return out
 
--- a/pearstall/models/explore.py
+++ b/pearstall/models/explore.py
@@ -139,10 +139,10 @@
         return [f"{NO_EXCEPTION.name}: {type(error).__name__}: {error}"]
 
 
-def fire_due_timers(machine: Machine, due: Callable[[], bool], most: int = 300) -> list[str]:
+def fire_due_timers(machine: Machine, has_timer: Callable[[], bool], most: int = 300) -> list[str]:
     """Fires timers until none is pending, and returns the first breach on the way."""
     for _ in range(most):
-        if not due():
+        if not has_timer():
             break
         machine.apply("tick")
         if broken := machine.breaches():
--- a/pearstall/models/listing.py
+++ b/pearstall/models/listing.py
@@ -118,7 +118,7 @@
             out.append("snapshot")
         if self.breaks and self.connected and self.snapshot_received:
             out += ["break", "restart", "snapshot", "repeat"]
-        if self.clock.due():
+        if self.clock.has_timer():
             out.append("tick")
         for client in self.clients:
             if client.query is None:
@@ -281,7 +281,7 @@
         for _ in range(TICKS):
             if self.connected and (self.sent < self.index or not self.snapshot_received):
                 self.apply("tell" if self.snapshot_received else "snapshot")
-            elif self.clock.due():
+            elif self.clock.has_timer():
                 self.apply("tick")
             else:
                 break
--- a/pearstall/models/session.py
+++ b/pearstall/models/session.py
@@ -199,7 +199,7 @@
                         out.append(f"{'fast' if reader.slow else 'slow'} {id} {name}")
         if self.evicts:
             out.append("squeeze")
-        if self.clock.due():
+        if self.clock.has_timer():
             out.append("tick")
         return out
 
@@ -282,7 +282,7 @@
                 self.breaches_seen.append(f"nothing-lost: {id} has {last}, but the following records are gone")
 
     def _may_be_forgotten(self, id: str) -> bool:
-        """Tells whether the ask's record may have been removed, because it expired unfetched or memory ran short."""
+        """Returns whether the ask's record may have been removed: it expired unfetched, or memory ran short."""
         return self.memory_ran_short or self.clock.now - self.since.get(id, self.clock.now) >= BOUNDS.remember
 
     def _apply_to_ask(self, kind: str, id: str) -> None:
@@ -434,7 +434,7 @@
                 self.apply(f"detach {id} {name}")
                 if broken := self.breaches():
                     return broken
-        if broken := fire_due_timers(self, self.clock.due):
+        if broken := fire_due_timers(self, self.clock.has_timer):
             return broken
         remaining = {
             "sessions": len(self.sessions.by_name),
